--- a/internal/edge/engine/claim.go
+++ b/internal/edge/engine/claim.go
@@ -89,7 +89,7 @@
 // regionState returns what this VM may use of a region.
 func (rqt *request) regionState(reg cardamompass.Region, now time.Time) (rst route.RegionState) {
 	pol := rqt.eng.cfg.Pool
-	_, usable := pol.Slots(share.SlotsName(rqt.req.Service, reg)).Room()
+	_, usable := pol.Slots(share.SlotsName(rqt.req.Service, reg)).Available()
 	rst = route.RegionState{
 		Region:     reg,
 		Share:      int(usable),
@@ -97,10 +97,10 @@
 		ShiftUnits: true,
 	}
 	if reg != rqt.eng.cfg.Self.Region {
-		rst.LinkUnits = pol.Rate(share.LinkName(rqt.eng.cfg.Self.Region, reg)).Open()
+		rst.LinkUnits = pol.Rate(share.LinkName(rqt.eng.cfg.Self.Region, reg)).Available()
 	}
 	if reg != rqt.req.CallerRegion {
-		rst.ShiftUnits = pol.Rate(share.ShiftName(rqt.req.Service, rqt.req.CallerRegion, reg)).Open()
+		rst.ShiftUnits = pol.Rate(share.ShiftName(rqt.req.Service, rqt.req.CallerRegion, reg)).Available()
 		rst.ColdSince = rqt.sta.shifts.wanted(reg, now)
 	}
 	return rst
@@ -110,7 +110,7 @@
 func (rqt *request) need(dec *route.Decision) {
 	for _, vdt := range dec.Regions {
 		if vdt.Reason == route.ReasonNoShare || vdt.Reason == route.ReasonNearestWithRoom {
-			rqt.eng.cfg.Pool.Slots(share.SlotsName(rqt.req.Service, vdt.Region)).Need()
+			rqt.eng.cfg.Pool.Slots(share.SlotsName(rqt.req.Service, vdt.Region)).RecordUnmet()
 		}
 	}
 }
--- a/internal/edge/engine/engine.go
+++ b/internal/edge/engine/engine.go
@@ -283,11 +283,11 @@
 			}
 			if slots > 0 {
 				list = append(list, share.Resource{
-					Name:     share.SlotsName(svc.Name, reg.Name),
-					Kind:     share.KindSlots,
-					Capacity: int64(slots),
-					Linger:   svc.MaxTimeout,
-					Weight:   weight(reg.Name),
+					Name:       share.SlotsName(svc.Name, reg.Name),
+					Kind:       share.KindSlots,
+					Capacity:   int64(slots),
+					MaxRunTime: svc.MaxTimeout,
+					Weight:     weight(reg.Name),
 				})
 			}
 		}
--- a/internal/edge/front/bench_test.go
+++ b/internal/edge/front/bench_test.go
@@ -44,7 +44,7 @@
 		_, _ = wrt.Write(bytes.Repeat([]byte("x"), 5000))
 	}))
 	defer target.Close()
-	vew := view.Empty().With([]cardamompass.Change{
+	vew := view.Empty().WithChanges([]cardamompass.Change{
 		{Table: routes()},
 		{Instance: &cardamompass.Instance{
 			ID:      "i-1",
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -144,7 +144,7 @@
 	if sit.vew == nil {
 		sit.vew = view.Empty()
 	}
-	sit.vew = sit.vew.With(chs, 1, view.Outage{}, time.Now())
+	sit.vew = sit.vew.WithChanges(chs, 1, view.Outage{}, time.Now())
 	sit.board.Sync(sit.vew, time.Now())
 }
 
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -62,7 +62,7 @@
 	self     cardamompass.VM
 	follower *view.Follower
 	presence *presence
-	caster   *cast.Caster
+	caster   *cast.Exchanger
 	board    *place.Board
 	sender   *send.Sender
 	front    *front.Front
@@ -112,7 +112,7 @@
 			Registry: cfg.Registry,
 			Clock:    cfg.Clock,
 			Log:      cfg.Log,
-			Changed:  nod.changed,
+			OnChange: nod.changed,
 		})
 	})
 	nod.presence = own(nod, func() (*presence, func()) { return newPresence(nod) })
@@ -132,7 +132,7 @@
 			Sender:   nod.sender,
 			View:     nod.follower.View,
 			Age:      nod.follower.Age,
-			Stated:   nod.caster.Note,
+			Stated:   nod.caster.RecordLoad,
 			Crashed:  reports.crashed,
 			Dial:     send.Dialer(targetSilence),
 		})
@@ -151,11 +151,11 @@
 // exchange starts the exchange of loads with the other VMs.
 func (nod *Node) exchange() (err error) {
 	cst, stop, err := cast.New(cast.Config{
-		Self:   nod.self,
-		Listed: func() []cardamompass.VM { return nod.follower.View().VMs() },
-		Heard:  nod.heard,
-		Clock:  nod.cfg.Clock,
-		Log:    nod.cfg.Log,
+		Self:      nod.self,
+		ListedVMs: func() []cardamompass.VM { return nod.follower.View().VMs() },
+		OnReports: nod.heard,
+		Clock:     nod.cfg.Clock,
+		Log:       nod.cfg.Log,
 	})
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 	lookups := direct.New(direct.Config{
 		Self:     nod.self,
 		Protocol: nod.cfg.Protocol,
-		Others:   nod.caster.Others,
+		Others:   nod.caster.OtherVMs,
 		Stopping: nod.stopping.Load,
 		MaxTTL:   set.MaxLookupTTL,
 		Log:      nod.cfg.Log,
--- a/internal/edge/node/state.go
+++ b/internal/edge/node/state.go
@@ -22,7 +22,7 @@
 		scp.Gauge("table-version").Update(float64(vew.Table.Version))
 	}
 	scp.Gauge("store-age-seconds").Update(nod.follower.Age().Seconds())
-	scp.Gauge("running-vms").Update(float64(len(nod.caster.Others()) + 1))
+	scp.Gauge("running-vms").Update(float64(len(nod.caster.OtherVMs()) + 1))
 	scp.Gauge("targets").Update(float64(len(vew.All())))
 	scp.Gauge("idle-connections").Update(float64(nod.sender.Idle()))
 	scp.Gauge("active-requests").Update(float64(nod.front.Active()))
@@ -55,7 +55,7 @@
 	if vew.Table != nil {
 		sta.TableVersion = vew.Table.Version
 	}
-	for _, vmc := range nod.caster.Others() {
+	for _, vmc := range nod.caster.OtherVMs() {
 		sta.Running = append(sta.Running, vmc.ID)
 	}
 	wrt.Header().Set("Content-Type", "application/json")
--- a/internal/edge/node/stop.go
+++ b/internal/edge/node/stop.go
@@ -27,7 +27,7 @@
 	begin := nod.cfg.Clock.Now()
 	nod.stopping.Store(true)
 	nod.front.Stop()
-	nod.caster.Stop()
+	nod.caster.AnnounceStop()
 	nod.cfg.Log.Info("stop begins", zap.Int("active", nod.front.Active()))
 	var withdrawn sync.WaitGroup
 	withdrawn.Go(func() {
--- a/internal/fleet/cast/cast.go
+++ b/internal/fleet/cast/cast.go
@@ -78,16 +78,16 @@
 // Config configures a Caster.
 type Config struct {
 	Self cardamompass.VM
-	// Listed returns the running VMs that the store knows. The slice may be shared; it is not changed.
-	Listed func() []cardamompass.VM
-	// Heard is told of the reports of another VM. It must not block.
-	Heard func(reports []Report)
-	Clock cardamompass.Clock
-	Log   *zap.Logger
+	// ListedVMs returns the running VMs that the store knows. The slice may be shared; it is not changed.
+	ListedVMs func() []cardamompass.VM
+	// OnReports is told of the reports of another VM. It must not block.
+	OnReports func(reports []Report)
+	Clock     cardamompass.Clock
+	Log       *zap.Logger
 }
 
-// Caster exchanges datagrams with the other VMs. It is safe for concurrent use.
-type Caster struct {
+// Exchanger exchanges datagrams with the other VMs. It is safe for concurrent use.
+type Exchanger struct {
 	cfg Config
 	con *net.UDPConn
 
@@ -109,7 +109,7 @@
 }
 
 // New listens at the VM's peer address and returns the function that ends the exchange.
-func New(cfg Config) (cst *Caster, cleanup func(), err error) {
+func New(cfg Config) (cst *Exchanger, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "exchange of loads") }()
 	adr, err := net.ResolveUDPAddr("udp4", cfg.Self.PeerAddress)
 	if err != nil {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	cst = &Caster{
+	cst = &Exchanger{
 		cfg:   cfg,
 		con:   con,
 		fresh: make(map[cardamompass.InstanceID]stamped),
@@ -136,8 +136,8 @@
 	}, nil
 }
 
-// Note takes a load that a target stated to this VM.
-func (cst *Caster) Note(id cardamompass.InstanceID, lod cardamompass.Load) {
+// RecordLoad takes a load that a target stated to this VM.
+func (cst *Exchanger) RecordLoad(id cardamompass.InstanceID, lod cardamompass.Load) {
 	cst.mu.Lock()
 	defer cst.mu.Unlock()
 	cst.fresh[id] = stamped{
@@ -146,8 +146,8 @@
 	}
 }
 
-// Stop tells the other VMs that this one stops.
-func (cst *Caster) Stop() {
+// AnnounceStop tells the other VMs that this one stops.
+func (cst *Exchanger) AnnounceStop() {
 	cst.mu.Lock()
 	cst.stopping = true
 	cst.mu.Unlock()
@@ -155,7 +155,7 @@
 }
 
 // Running returns the other VMs from which a datagram came a short time ago and that do not stop.
-func (cst *Caster) Running() (vms []cardamompass.VM) {
+func (cst *Exchanger) Running() (vms []cardamompass.VM) {
 	now := cst.cfg.Clock.Now()
 	cst.mu.Lock()
 	defer cst.mu.Unlock()
@@ -167,11 +167,11 @@
 	return vms
 }
 
-// Others returns the other VMs that serve: those that the store names and those that were heard a short time ago, since the entry of a VM
-// may lapse although it serves.
-func (cst *Caster) Others() (vms []cardamompass.VM) {
+// OtherVMs returns the other VMs that serve: those in the store and those from which a datagram arrived recently, since
+// the store entry of a VM may lapse while the VM still serves.
+func (cst *Exchanger) OtherVMs() (vms []cardamompass.VM) {
 	seen := map[cardamompass.VMID]bool{cst.cfg.Self.ID: true}
-	for _, vmc := range slices.Concat(cst.cfg.Listed(), cst.Running()) {
+	for _, vmc := range slices.Concat(cst.cfg.ListedVMs(), cst.Running()) {
 		if !seen[vmc.ID] {
 			seen[vmc.ID] = true
 			vms = append(vms, vmc)
@@ -180,7 +180,7 @@
 	return vms
 }
 
-func (cst *Caster) send(ctx context.Context) {
+func (cst *Exchanger) send(ctx context.Context) {
 	tck := time.NewTicker(Interval)
 	defer tck.Stop()
 	for {
@@ -196,14 +196,14 @@
 }
 
 // due reports whether there is something to tell.
-func (cst *Caster) due() (ok bool) {
+func (cst *Exchanger) due() (ok bool) {
 	cst.mu.Lock()
 	defer cst.mu.Unlock()
 	return len(cst.fresh) > 0 || cst.cfg.Clock.Now().Sub(cst.sentAt) >= quietInterval
 }
 
 // cast sends one datagram to the other VMs.
-func (cst *Caster) cast() {
+func (cst *Exchanger) cast() {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
 	enc.UseCompactInts(true)
@@ -225,7 +225,7 @@
 }
 
 // take returns the datagram with the reports since the last one.
-func (cst *Caster) take() (dgr datagram) {
+func (cst *Exchanger) take() (dgr datagram) {
 	now := cst.cfg.Clock.Now()
 	self := cst.cfg.Self
 	cst.mu.Lock()
@@ -260,9 +260,9 @@
 
 // peers returns the VMs that get a datagram: those of the own region first, since they use the same targets, then others. Within these a
 // VM comes earlier the more requests it can carry, by chance in that proportion, since loads are of use where requests are.
-func (cst *Caster) peers() (vms []cardamompass.VM) {
+func (cst *Exchanger) peers() (vms []cardamompass.VM) {
 	var far []cardamompass.VM
-	for _, vmc := range cst.Others() {
+	for _, vmc := range cst.OtherVMs() {
 		switch {
 		case vmc.PeerAddress == "":
 		case vmc.Region == cst.cfg.Self.Region:
@@ -286,7 +286,7 @@
 }
 
 // receive takes datagrams until the connection is closed.
-func (cst *Caster) receive() {
+func (cst *Exchanger) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
 		num, _, err := cst.con.ReadFromUDP(buf)
@@ -305,7 +305,7 @@
 	}
 }
 
-func (cst *Caster) heardFrom(dgr datagram) {
+func (cst *Exchanger) heardFrom(dgr datagram) {
 	vmc := cardamompass.VM{
 		ID:            cardamompass.VMID(dgr.VM),
 		Incarnation:   cardamompass.Incarnation(dgr.Incarnation),
@@ -345,5 +345,5 @@
 			Age: time.Duration(val.AgeMS) * time.Millisecond,
 		})
 	}
-	cst.cfg.Heard(reports)
+	cst.cfg.OnReports(reports)
 }
--- a/internal/fleet/cast/cast_test.go
+++ b/internal/fleet/cast/cast_test.go
@@ -17,7 +17,7 @@
 
 // node is one VM of a test.
 type node struct {
-	*cast.Caster
+	*cast.Exchanger
 	self cardamompass.VM
 
 	mu      sync.Mutex
@@ -63,17 +63,17 @@
 	}
 	for _, nod := range nodes {
 		cst, stop, err := cast.New(cast.Config{
-			Self:   nod.self,
-			Listed: func() []cardamompass.VM { return all },
-			Heard:  nod.heard,
-			Clock:  cardamompass.SystemClock{},
-			Log:    zap.NewNop(),
+			Self:      nod.self,
+			ListedVMs: func() []cardamompass.VM { return all },
+			OnReports: nod.heard,
+			Clock:     cardamompass.SystemClock{},
+			Log:       zap.NewNop(),
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(stop)
-		nod.Caster = cst
+		nod.Exchanger = cst
 	}
 	return nodes
 }
@@ -96,7 +96,7 @@
 		Slots:    6,
 		Slowness: 2.5,
 	}
-	nodes[0].Note("i-1", lod)
+	nodes[0].RecordLoad("i-1", lod)
 	for _, nod := range nodes[1:] {
 		await(t, "report at "+string(nod.self.ID), func() bool { return len(nod.got()) > 0 })
 		if rpt := nod.got()[0]; rpt.Instance != "i-1" || rpt.Load != lod || rpt.Age < 0 || rpt.Age > 5*time.Second {
@@ -112,7 +112,7 @@
 func TestRunningVMs(t *testing.T) {
 	nodes := newNodes(t, "vm-1", "vm-2")
 	await(t, "both heard", func() bool { return len(nodes[0].Running()) == 1 && len(nodes[1].Running()) == 1 })
-	nodes[1].Stop()
+	nodes[1].AnnounceStop()
 	await(t, "the stop heard", func() bool { return len(nodes[0].Running()) == 0 })
 	time.Sleep(time.Second) // later datagrams must not bring it back
 	if vms := nodes[0].Running(); len(vms) > 0 {
@@ -138,10 +138,10 @@
 			ID:          "vm-1",
 			PeerAddress: address,
 		},
-		Listed: func() []cardamompass.VM { return listed[:1] },
-		Heard:  func([]cast.Report) {},
-		Clock:  cardamompass.SystemClock{},
-		Log:    zap.NewNop(),
+		ListedVMs: func() []cardamompass.VM { return listed[:1] },
+		OnReports: func([]cast.Report) {},
+		Clock:     cardamompass.SystemClock{},
+		Log:       zap.NewNop(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	await(t, "vm-2 heard", func() bool { return len(cst.Running()) == 1 })
-	cst.Stop() // sends a datagram to the listed and the heard VMs
+	cst.AnnounceStop() // sends a datagram to the listed and the heard VMs
 	if listed[1] != behind {
 		t.Fatalf("the list was changed: %+v", listed)
 	}
@@ -172,7 +172,7 @@
 	nodes := newNodesOf(t, cardamompass.VM{ID: "vm-1"}, cardamompass.VM{ID: "vm-2", Capacity: 1000}, cardamompass.VM{ID: "vm-3", Capacity: 1})
 	for round := range rounds {
 		for num := range 30 {
-			nodes[0].Note(cardamompass.InstanceID(fmt.Sprintf("i-%d-%d", round, num)), cardamompass.Load{Slots: 6, Slowness: 1})
+			nodes[0].RecordLoad(cardamompass.InstanceID(fmt.Sprintf("i-%d-%d", round, num)), cardamompass.Load{Slots: 6, Slowness: 1})
 		}
 		time.Sleep(cast.Interval)
 	}
@@ -195,6 +195,6 @@
 			t.Fatal(err)
 		}
 	}
-	nodes[0].Note("i-1", cardamompass.Load{Slots: 6, Slowness: 1})
+	nodes[0].RecordLoad("i-1", cardamompass.Load{Slots: 6, Slowness: 1})
 	await(t, "report after foreign datagrams", func() bool { return len(nodes[1].got()) > 0 })
 }
--- a/internal/fleet/share/bench_test.go
+++ b/internal/fleet/share/bench_test.go
@@ -34,8 +34,8 @@
 				share.Resource{Name: share.ShiftName("manuals-dl", one, oth), Capacity: costCapacity})
 		}
 		list = append(list,
-			share.Resource{Name: share.SlotsName("kiosk-core", one), Kind: share.KindSlots, Capacity: costCapacity, Linger: time.Minute},
-			share.Resource{Name: share.SlotsName("manuals-dl", one), Kind: share.KindSlots, Capacity: costCapacity, Linger: time.Minute})
+			share.Resource{Name: share.SlotsName("kiosk-core", one), Kind: share.KindSlots, Capacity: costCapacity, MaxRunTime: time.Minute},
+			share.Resource{Name: share.SlotsName("manuals-dl", one), Kind: share.KindSlots, Capacity: costCapacity, MaxRunTime: time.Minute})
 	}
 	return list
 }
@@ -78,12 +78,12 @@
 			b.Fatal(err)
 		}
 		own := led.Entries[owners/2]
-		vis := share.Visit{
+		vis := share.PlanInput{
 			Owner:            own.Owner,
 			Resource:         share.Resource{Name: "link/a/b", Capacity: led.Capacity},
 			CatalogueVersion: led.CatalogueVersion,
-			Held:             own.Units,
-			Gone:             func(share.Entry) bool { return false },
+			ConfirmedUnits:   own.Units,
+			Expired:          func(share.Entry) bool { return false },
 		}
 		for name, run := range map[string]func(){
 			"parse":   func() { _, _ = share.ParseLedger(data) },
@@ -215,11 +215,11 @@
 		for _, dead := range []int{0, max(1, owners/11), max(2, owners/4)} {
 			b.Run(fmt.Sprintf("owners=%d/dead=%d", owners, dead), func(b *testing.B) {
 				pol, sto := costPool(b, owners, dead, costResources(4), cardamompass.SystemClock{})
-				pol.Visit(b.Context())
+				pol.Rebalance(b.Context())
 				sto.reads, sto.writes, sto.inspect, sto.bytes = 0, 0, 0, 0
 				rounds := 0
 				for b.Loop() {
-					pol.Visit(b.Context())
+					pol.Rebalance(b.Context())
 					rounds++
 				}
 				b.ReportMetric(float64(sto.reads)/float64(rounds), "gets/visit")
@@ -240,7 +240,7 @@
 			for b.Loop() {
 				pol, sto := costPool(b, 430, dead, costResources(4)[:1], cardamompass.SystemClock{})
 				sto.trip = 70 * time.Millisecond
-				pol.Visit(b.Context())
+				pol.Rebalance(b.Context())
 				owned = pol.State().Resources[0].Owned
 			}
 			b.ReportMetric(float64(owned), "owned")
@@ -277,7 +277,7 @@
 				now: time.Now(),
 			}
 			pol, _ := costPool(b, 430, 0, costResources(4), clk)
-			pol.Visit(b.Context())
+			pol.Rebalance(b.Context())
 			svc := pol.Service()
 			num := 0
 			for b.Loop() {
@@ -346,7 +346,7 @@
 	// Two visits of each VM divide the units.
 	for range 2 {
 		for _, one := range wld.vms {
-			one.pol.Visit(context.Background())
+			one.pol.Rebalance(context.Background())
 			wld.now = wld.now.Add(10 * time.Millisecond)
 		}
 	}
--- a/internal/fleet/share/cell.go
+++ b/internal/fleet/share/cell.go
@@ -52,7 +52,7 @@
 
 // own returns the units that are owned, in force and not lent. It may be negative for a moment after the capacity fell.
 func (cel *cell) own(now, leaseEnds time.Time) int64 {
-	if !now.Add(cel.res.Linger).Before(leaseEnds) {
+	if !now.Add(cel.res.MaxRunTime).Before(leaseEnds) {
 		return 0
 	}
 	return scale(cel.units, cel.res.Capacity, cel.basis) - cel.lent.total(now)
--- a/internal/fleet/share/ledger.go
+++ b/internal/fleet/share/ledger.go
@@ -119,36 +119,36 @@
 	return led
 }
 
-// Visit is what an incarnation knows when it looks at a ledger.
-type Visit struct {
+// PlanInput is what an incarnation knows when it plans its next entry in a ledger.
+type PlanInput struct {
 	Owner    Owner
 	Resource Resource
 	// CatalogueVersion is the version of the catalogue that Resource was taken from.
 	CatalogueVersion int64
-	// Held is the number of units that the visitor holds itself to own. It is below the ledger's figure after a write whose
-	// answer was lost, and after the store was restored to an older state. The smaller figure counts.
-	Held int64
-	// Absent is the number of alive members that have no entry yet. Room is kept for them, so that the first owner does not
-	// take everything.
-	Absent int64
+	// ConfirmedUnits is the number of units that the owner may count on. It is below the ledger's figure after a write
+	// whose answer was lost, and after the store was restored to an older state. The smaller figure counts.
+	ConfirmedUnits int64
+	// MembersWithoutEntry is the number of alive members that have no entry yet. Units are set aside for them, so that
+	// the first owner does not take everything.
+	MembersWithoutEntry int64
 	// Floor is the number of own units that can't be given up now: they are in use or lent.
 	Floor int64
-	// Succeeds is set when loans that a predecessor of the visitor on the same VM made have certainly ended. Its entry can
-	// be taken then.
-	Succeeds bool
-	// Gone reports whether the lease of an entry has lapsed and its incarnation is certainly not in use any more.
-	Gone func(Entry) bool
-	// Stuck reports whether the owner of an entry can't lower it: it does not serve, and its lease has not lapsed. Nil
-	// means that all can.
-	Stuck func(Entry) bool
+	// PredecessorLoansEnded is set when the loans of the owner's predecessor on the same VM have certainly ended. The
+	// predecessor's entry can then be removed.
+	PredecessorLoansEnded bool
+	// Expired reports whether the lease of an entry has lapsed, so that its owner certainly uses no unit any more.
+	Expired func(Entry) bool
+	// Unavailable reports whether the owner of an entry can't lower it: it does not serve, and its lease has not lapsed.
+	// Nil means that all owners can.
+	Unavailable func(Entry) bool
 }
 
 // Plan returns the ledger that the visitor wants: without the entries of gone owners, with the capacity in force if the
 // visitor knows a catalogue that is at least as new as the ledger's, and with the visitor's units moved towards its
 // part. Only the visitor's own units and those of gone owners change.
-func (led Ledger) Plan(vis Visit) (next Ledger) {
+func (led Ledger) Plan(vis PlanInput) (next Ledger) {
 	next = led.without(func(ent Entry) bool {
-		return !ent.same(vis.Owner) && (vis.Succeeds && vis.Owner.succeeds(ent.Owner) || vis.Gone(ent))
+		return !ent.same(vis.Owner) && (vis.PredecessorLoansEnded && vis.Owner.succeeds(ent.Owner) || vis.Expired(ent))
 	})
 	wanted := next.Capacity
 	if vis.CatalogueVersion >= next.CatalogueVersion {
@@ -160,7 +160,7 @@
 		// only a part of its part.
 		capacity = next.Capacity
 	}
-	mine := min(next.Units(vis.Owner), vis.Held)
+	mine := min(next.Units(vis.Owner), vis.ConfirmedUnits)
 	others := next.WithoutOwner(vis.Owner).Sum()
 	part := partOf(next, vis, capacity)
 	units := mine
@@ -187,14 +187,14 @@
 }
 
 // fits reports whether the units can fit into a lower capacity once all owners that can lower their entries have their part.
-func (led Ledger) fits(vis Visit, capacity int64) bool {
-	if vis.Stuck == nil {
+func (led Ledger) fits(vis PlanInput, capacity int64) bool {
+	if vis.Unavailable == nil {
 		return true
 	}
 	parts := led.parts(capacity)
 	sum := int64(0)
 	for num, ent := range led.Entries {
-		if !vis.Stuck(ent) {
+		if !vis.Unavailable(ent) {
 			ent.Units = min(ent.Units, parts[num])
 		}
 		sum += ent.Units
@@ -249,13 +249,13 @@
 
 // partOf returns the visitor's part of the capacity among the present owners and the absent members, which count with the
 // visitor's weight.
-func partOf(led Ledger, vis Visit, capacity int64) int64 {
+func partOf(led Ledger, vis PlanInput, capacity int64) int64 {
 	withSelf := led.WithEntry(Entry{
 		Owner:  vis.Owner,
 		Weight: vis.Resource.Weight,
 	})
 	pos := slices.IndexFunc(withSelf.Entries, func(ent Entry) bool { return ent.same(vis.Owner) })
-	for num := range vis.Absent {
+	for num := range vis.MembersWithoutEntry {
 		withSelf.Entries = append(withSelf.Entries, Entry{
 			Owner: Owner{
 				Incarnation: cardamompass.Incarnation(num),
--- a/internal/fleet/share/pool.go
+++ b/internal/fleet/share/pool.go
@@ -200,7 +200,7 @@
 
 // runVisits keeps the lease, visits every ledger now and then, and those soon that are divided unevenly.
 func (pol *Pool) runVisits(ctx context.Context) {
-	pol.Visit(ctx)
+	pol.Rebalance(ctx)
 	full := pol.nextFull()
 	for {
 		next := full
@@ -213,7 +213,7 @@
 			tmr.Stop()
 			return
 		case <-pol.wake:
-			pol.Visit(ctx)
+			pol.Rebalance(ctx)
 		case <-pol.soon:
 			// A ledger became due; the time of the next visit is computed anew.
 		case <-tmr.C():
@@ -221,7 +221,7 @@
 				pol.visit(ctx, pol.takeDue())
 				break
 			}
-			pol.Visit(ctx)
+			pol.Rebalance(ctx)
 			full = pol.nextFull()
 		}
 		tmr.Stop()
@@ -279,8 +279,8 @@
 	return names
 }
 
-// Visit renews the lease if that is due and visits every ledger once. Failures are logged and left to the next visit.
-func (pol *Pool) Visit(ctx context.Context) {
+// Rebalance renews the lease if that is due and visits every ledger once. Failures are logged and left to the next visit.
+func (pol *Pool) Rebalance(ctx context.Context) {
 	pol.visit(ctx, pol.names())
 }
 
--- a/internal/fleet/share/resource.go
+++ b/internal/fleet/share/resource.go
@@ -38,8 +38,8 @@
 	Kind Kind
 	// Capacity is the cap, in units: bytes a second, requests a second, or slots.
 	Capacity int64
-	// Linger is the longest time for which work that was started on a slot can run. Zero for rates.
-	Linger time.Duration
+	// MaxRunTime is the longest time for which work that was started on a slot can run. Zero for rates.
+	MaxRunTime time.Duration
 	// LongPercent is the part of a rate that work of the long class may use; 0 means all.
 	LongPercent int
 	// Weight is the relative size of this VM's part, at least 1. VMs that are likely to use a resource own more of it.
--- a/internal/fleet/share/restart_test.go
+++ b/internal/fleet/share/restart_test.go
@@ -120,16 +120,16 @@
 	}
 	rst.leaseReads += reads - 1
 	rst.readsAt[int(evt.at/time.Second)] += reads
-	next := rst.led.Plan(share.Visit{
+	next := rst.led.Plan(share.PlanInput{
 		Owner: own,
 		Resource: share.Resource{
 			Name:     "link/a/b",
 			Capacity: costCapacity,
 		},
-		CatalogueVersion: rst.led.CatalogueVersion,
-		Held:             rst.held[evt.vm],
-		Succeeds:         evt.at-rst.started[evt.vm] > succeedTime,
-		Gone:             func(ent share.Entry) bool { return rst.gone[ent.Owner] && evt.at > leaseTime },
+		CatalogueVersion:      rst.led.CatalogueVersion,
+		ConfirmedUnits:        rst.held[evt.vm],
+		PredecessorLoansEnded: evt.at-rst.started[evt.vm] > succeedTime,
+		Expired:               func(ent share.Entry) bool { return rst.gone[ent.Owner] && evt.at > leaseTime },
 	})
 	if next.Equal(rst.led) {
 		rst.held[evt.vm] = next.Units(own)
--- a/internal/fleet/share/service.go
+++ b/internal/fleet/share/service.go
@@ -78,7 +78,7 @@
 	now := pol.cfg.Clock.Now()
 	cel.mtx.Lock()
 	defer cel.mtx.Unlock()
-	ends := lenderEnd(now, pol.cfg.LoanTTL, cel.res.Linger)
+	ends := lenderEnd(now, pol.cfg.LoanTTL, cel.res.MaxRunTime)
 	if !ends.Before(pol.leaseEnds()) {
 		return nil
 	}
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		if wld.rnd.Intn(20) == 0 {
-			one.pol.Visit(context.Background())
+			one.pol.Rebalance(context.Background())
 		}
 		one.pol.BorrowRound(context.Background())
 		for range demand(one) {
@@ -247,13 +247,13 @@
 			if dead(ent) {
 				continue
 			}
-			led = led.Plan(share.Visit{
+			led = led.Plan(share.PlanInput{
 				Owner:            ent.Owner,
 				Resource:         share.Resource{Capacity: 105},
 				CatalogueVersion: 2,
-				Held:             led.Units(ent.Owner),
-				Gone:             func(share.Entry) bool { return false },
-				Stuck:            dead,
+				ConfirmedUnits:   led.Units(ent.Owner),
+				Expired:          func(share.Entry) bool { return false },
+				Unavailable:      dead,
 			})
 		}
 	}
@@ -282,12 +282,12 @@
 	}
 	for range 3 {
 		for _, ent := range led.Entries {
-			led = led.Plan(share.Visit{
+			led = led.Plan(share.PlanInput{
 				Owner:            ent.Owner,
 				Resource:         share.Resource{Kind: share.KindSlots, Capacity: 12},
 				CatalogueVersion: 1,
-				Held:             led.Units(ent.Owner),
-				Gone:             func(share.Entry) bool { return false },
+				ConfirmedUnits:   led.Units(ent.Owner),
+				Expired:          func(share.Entry) bool { return false },
 			})
 		}
 	}
@@ -322,13 +322,13 @@
 			if older {
 				version = 4
 			}
-			next := led.Plan(share.Visit{
+			next := led.Plan(share.PlanInput{
 				Owner:            self,
 				Resource:         share.Resource{Capacity: capacity*2 - 50},
 				CatalogueVersion: version,
-				Held:             held,
+				ConfirmedUnits:   held,
 				Floor:            min(floor, held),
-				Gone:             func(share.Entry) bool { return false },
+				Expired:          func(share.Entry) bool { return false },
 			})
 			for _, ent := range led.Entries {
 				if ent.Incarnation != self.Incarnation && next.Units(ent.Owner) != ent.Units {
@@ -358,12 +358,12 @@
 				wld.down = true
 				return fault
 			}
-			who.pol.Visit(context.Background())
+			who.pol.Rebalance(context.Background())
 			wld.down = false
 		}
 		settle := func(who *vm) {
 			wld.putFault = func() int { return clean }
-			who.pol.Visit(context.Background())
+			who.pol.Rebalance(context.Background())
 		}
 		settle(one)
 		settle(two)
--- a/internal/fleet/share/sim_test.go
+++ b/internal/fleet/share/sim_test.go
@@ -126,10 +126,10 @@
 			LongPercent: 80,
 		},
 		{
-			Name:     "slots/kiosk-core/delta",
-			Kind:     share.KindSlots,
-			Capacity: one.wld.capacity["slots/kiosk-core/delta"],
-			Linger:   linger,
+			Name:       "slots/kiosk-core/delta",
+			Kind:       share.KindSlots,
+			Capacity:   one.wld.capacity["slots/kiosk-core/delta"],
+			MaxRunTime: linger,
 		},
 	}, version)
 }
--- a/internal/fleet/share/use.go
+++ b/internal/fleet/share/use.go
@@ -28,8 +28,8 @@
 	return rte.cel.tryRate(num, class == cardamompass.ClassLong, now, rte.pol.leaseEnds())
 }
 
-// Open reports whether one unit could be had now, without taking it.
-func (rte *Rate) Open() bool {
+// Available reports whether one unit could be had now, without taking it.
+func (rte *Rate) Available() bool {
 	if rte == nil {
 		return false
 	}
@@ -106,8 +106,8 @@
 	slt.cel.inUse--
 }
 
-// Need records that a slot was wanted while there was none, so that the VM borrows.
-func (slt *Slots) Need() {
+// RecordUnmet records that a slot was wanted while there was none, so that the VM borrows.
+func (slt *Slots) RecordUnmet() {
 	if slt == nil {
 		return
 	}
@@ -117,8 +117,8 @@
 	slt.cel.lack(now)
 }
 
-// Room returns the number of slots that could be taken now and the number that may be in use altogether.
-func (slt *Slots) Room() (free, usable int64) {
+// Available returns the number of slots that could be taken now and the number that may be in use altogether.
+func (slt *Slots) Available() (free, usable int64) {
 	if slt == nil {
 		return 0, 0
 	}
--- a/internal/fleet/share/visit.go
+++ b/internal/fleet/share/visit.go
@@ -123,16 +123,16 @@
 	if cel.res.Kind == KindSlots {
 		floor += cel.inUse
 	}
-	next = led.Plan(Visit{
-		Owner:            own,
-		Succeeds:         now.Sub(pol.started) > lenderEnd(now, pol.cfg.LoanTTL, cel.res.Linger).Sub(now),
-		Resource:         cel.res,
-		CatalogueVersion: version,
-		Held:             cel.units,
-		Absent:           pol.absent(led),
-		Floor:            floor,
-		Gone:             func(ent Entry) bool { return gone[ent.Owner] },
-		Stuck:            func(ent Entry) bool { return stuck[ent.Owner] },
+	next = led.Plan(PlanInput{
+		Owner:                 own,
+		PredecessorLoansEnded: now.Sub(pol.started) > lenderEnd(now, pol.cfg.LoanTTL, cel.res.MaxRunTime).Sub(now),
+		Resource:              cel.res,
+		CatalogueVersion:      version,
+		ConfirmedUnits:        cel.units,
+		MembersWithoutEntry:   pol.absent(led),
+		Floor:                 floor,
+		Expired:               func(ent Entry) bool { return gone[ent.Owner] },
+		Unavailable:           func(ent Entry) bool { return stuck[ent.Owner] },
 	})
 	cel.units = min(cel.units, next.Units(own))
 	return next, cel.doubt
--- a/internal/fleet/view/follow.go
+++ b/internal/fleet/view/follow.go
@@ -39,8 +39,8 @@
 	Registry cardamompass.Registry
 	Clock    cardamompass.Clock
 	Log      *zap.Logger
-	// Changed is called after each new view, from one goroutine at a time. Optional.
-	Changed func(old, next *View)
+	// OnChange is called after each new view, from one goroutine at a time. Optional.
+	OnChange func(old, next *View)
 }
 
 // Follower keeps a View up to date.
@@ -56,8 +56,8 @@
 
 // New starts to follow the store and returns the function that ends it.
 func New(cfg Config) (flw *Follower, cleanup func()) {
-	if cfg.Changed == nil {
-		cfg.Changed = func(*View, *View) {}
+	if cfg.OnChange == nil {
+		cfg.OnChange = func(*View, *View) {}
 	}
 	flw = &Follower{
 		cfg:   cfg,
@@ -119,7 +119,7 @@
 }
 
 func (flw *Follower) purge() {
-	if flw.out.Lasts {
+	if flw.out.Ongoing {
 		return
 	}
 	next, gone := flw.View().WithoutMissing(flw.cfg.Clock.Now())
@@ -141,7 +141,7 @@
 		return ftc
 	}
 	wait := watchWait
-	if flw.out.Lasts {
+	if flw.out.Ongoing {
 		wait = outageWait
 	}
 	ftc.chs, ftc.revision, ftc.err = flw.cfg.Registry.Watch(ctx, flw.View().Revision, wait)
@@ -171,7 +171,7 @@
 		flw.publish(flw.View().WithListing(ftc.chs, ftc.revision, flw.out, now))
 		return
 	}
-	flw.publish(flw.View().With(ftc.chs, ftc.revision, flw.out, now))
+	flw.publish(flw.View().WithChanges(ftc.chs, ftc.revision, flw.out, now))
 	pause := min(batchMost, max(batchLeast, batchWait*time.Duration(len(flw.View().vms))))
 	_ = cardamompass.Sleep(ctx, flw.cfg.Clock, pause) // run notices the end of ctx
 }
@@ -181,7 +181,7 @@
 	now = flw.cfg.Clock.Now()
 	flw.contact.Store(now.UnixNano())
 	flw.pause = retryFirst
-	if flw.out.Lasts {
+	if flw.out.Ongoing {
 		flw.out = Outage{
 			Ended: now,
 		}
@@ -194,12 +194,12 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if flw.out.Lasts {
+	if flw.out.Ongoing {
 		flw.cfg.Log.Info("store still lost", zap.Error(err), zap.Duration("age", flw.Age()))
 	} else {
 		flw.cfg.Log.Warn("store lost", zap.Error(err), zap.Duration("age", flw.Age()))
 	}
-	flw.out.Lasts = true
+	flw.out.Ongoing = true
 	_ = cardamompass.Sleep(ctx, flw.cfg.Clock, flw.pause) // run notices the end of ctx
 	flw.pause = min(2*flw.pause, retryMost)
 }
@@ -211,7 +211,7 @@
 		flw.cfg.Log.Info("routing table in force", zap.Uint64("version", next.Table.Version),
 			zap.Int("routes", len(next.Table.Routes)), zap.Int64("revision", next.Revision))
 	}
-	flw.cfg.Changed(old, next)
+	flw.cfg.OnChange(old, next)
 }
 
 // note logs what changes.
--- a/internal/fleet/view/purge_test.go
+++ b/internal/fleet/view/purge_test.go
@@ -42,7 +42,7 @@
 	answered       atomic.Int64 // when the lost history was told, in nanoseconds
 }
 
-const slowListing = view.ReturnTime - 300*time.Millisecond
+const slowListing = view.ReregisterTime - 300*time.Millisecond
 
 func (reg *emptiedRegistry) List(context.Context) (chs []cardamompass.Change, revision int64, err error) {
 	if reg.lists.Add(1) == 1 {
@@ -76,7 +76,7 @@
 	defer stop()
 	within(t, changeBound, "listing", func() bool { return len(flw.View().Instances("svc")) == 2 })
 	within(t, changeBound, "answer", func() bool { return reg.answered.Load() > 0 })
-	left := time.Until(time.Unix(0, reg.answered.Load()).Add(view.ReturnTime + time.Second/2))
+	left := time.Until(time.Unix(0, reg.answered.Load()).Add(view.ReregisterTime + time.Second/2))
 	within(t, left, "removal", func() bool { return len(flw.View().Instances("svc")) == 1 })
 }
 
@@ -90,5 +90,5 @@
 	})
 	defer stop()
 	within(t, changeBound, "listing", func() bool { return len(flw.View().Instances("svc")) == 2 })
-	within(t, view.ReturnTime+changeBound/2, "removal", func() bool { return len(flw.View().Instances("svc")) == 1 })
+	within(t, view.ReregisterTime+changeBound/2, "removal", func() bool { return len(flw.View().Instances("svc")) == 1 })
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -18,13 +18,13 @@
 type Outage struct {
 	// Ended is when it could be followed again; zero while there was no outage or it lasts.
 	Ended time.Time
-	// Lasts is set while the store can't be followed.
-	Lasts bool
+	// Ongoing is set while the store can't be followed.
+	Ongoing bool
 }
 
-// ReturnTime is the time after the store's return within which targets register again whose entries lapsed while it was away. They do
+// ReregisterTime is the time after the store's return within which targets register again whose entries lapsed while it was away. They do
 // so within two seconds; the return is noticed a little later than it happens.
-const ReturnTime = 1800 * time.Millisecond
+const ReregisterTime = 1800 * time.Millisecond
 
 // View is a snapshot of the fleet.
 type View struct {
@@ -77,8 +77,8 @@
 // Crashes returns the number of instances that crashed while a request with this fingerprint was in flight there.
 func (vew *View) Crashes(fingerprint string) (count int) { return vew.crashed[fingerprint] }
 
-// With returns the view after changes, in their order. now is the time at which they were learned.
-func (vew *View) With(chs []cardamompass.Change, revision int64, out Outage, now time.Time) (next *View) {
+// WithChanges returns the view after changes, in their order. now is the time at which they were learned.
+func (vew *View) WithChanges(chs []cardamompass.Change, revision int64, out Outage, now time.Time) (next *View) {
 	next = vew.clone()
 	next.Revision = revision
 	for _, chg := range chs {
@@ -185,16 +185,16 @@
 	if !known {
 		return
 	}
-	returning := out.Lasts || (!out.Ended.IsZero() && now.Before(out.Ended.Add(ReturnTime)))
+	returning := out.Ongoing || (!out.Ended.IsZero() && now.Before(out.Ended.Add(ReregisterTime)))
 	if ins.Leaving || !returning {
 		delete(vew.instances, id)
 		delete(vew.missing, id)
 		return
 	}
 	if _, already := vew.missing[id]; !already {
-		until := now.Add(ReturnTime)
-		if !out.Lasts {
-			until = out.Ended.Add(ReturnTime)
+		until := now.Add(ReregisterTime)
+		if !out.Ongoing {
+			until = out.Ended.Add(ReregisterTime)
 		}
 		vew.missing[id] = until
 	}
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -37,7 +37,7 @@
 // Guards against a VM that goes back to an older routing table, from a late event or a listing.
 func TestTableNeverGoesBack(t *testing.T) {
 	vew := view.Empty().WithListing([]cardamompass.Change{table(7)}, 5, view.Outage{}, start)
-	vew = vew.With([]cardamompass.Change{table(3)}, 6, view.Outage{}, start)
+	vew = vew.WithChanges([]cardamompass.Change{table(3)}, 6, view.Outage{}, start)
 	vew = vew.WithListing([]cardamompass.Change{table(5)}, 7, view.Outage{}, start)
 	vew = vew.WithListing(nil, 8, view.Outage{}, start)
 	if vew.Table.Version != 7 {
@@ -56,21 +56,21 @@
 		purged  bool // two seconds after the store's return
 	}{
 		{"store in order", view.Outage{}, start, false, false, true},
-		{"store away", view.Outage{Lasts: true}, start, false, true, true},
+		{"store away", view.Outage{Ongoing: true}, start, false, true, true},
 		{"just after its return", view.Outage{Ended: start.Add(-time.Second)}, start, false, true, true},
 		{"long after its return", view.Outage{Ended: start.Add(-5 * time.Second)}, start, false, false, true},
-		{"a leaving one while the store is away", view.Outage{Lasts: true}, start, true, false, true},
+		{"a leaving one while the store is away", view.Outage{Ongoing: true}, start, true, false, true},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
 			chg := instance("i-1")
 			chg.Instance.Leaving = tst.leaving
-			vew := view.Empty().With([]cardamompass.Change{chg}, 1, view.Outage{}, start)
-			vew = vew.With([]cardamompass.Change{gone("i-1")}, 2, tst.out, tst.now)
+			vew := view.Empty().WithChanges([]cardamompass.Change{chg}, 1, view.Outage{}, start)
+			vew = vew.WithChanges([]cardamompass.Change{gone("i-1")}, 2, tst.out, tst.now)
 			if got := len(vew.Instances("svc")) == 1; got != tst.usable {
 				t.Fatalf("usable %v, want %v", got, tst.usable)
 			}
-			vew, _ = vew.WithoutMissing(tst.now.Add(view.ReturnTime + time.Millisecond))
+			vew, _ = vew.WithoutMissing(tst.now.Add(view.ReregisterTime + time.Millisecond))
 			if got := len(vew.Instances("svc")) == 0; got != tst.purged {
 				t.Fatalf("purged %v, want %v", got, tst.purged)
 			}
@@ -81,11 +81,11 @@
 // Guards against dropping a target that registered again in time.
 func TestInstanceReturns(t *testing.T) {
 	away := view.Outage{
-		Lasts: true,
+		Ongoing: true,
 	}
-	vew := view.Empty().With([]cardamompass.Change{instance("i-1")}, 1, view.Outage{}, start)
+	vew := view.Empty().WithChanges([]cardamompass.Change{instance("i-1")}, 1, view.Outage{}, start)
 	vew = vew.WithListing(nil, 2, away, start)
-	vew = vew.With([]cardamompass.Change{instance("i-1")}, 3, view.Outage{Ended: start}, start)
+	vew = vew.WithChanges([]cardamompass.Change{instance("i-1")}, 3, view.Outage{Ended: start}, start)
 	vew, lost := vew.WithoutMissing(start.Add(time.Minute))
 	if len(lost) > 0 || len(vew.Instances("svc")) != 1 {
 		t.Fatalf("lost %v", lost)
@@ -94,10 +94,10 @@
 
 // Guards against a target that stays in use after its entry was overwritten by something that can't be read.
 func TestRejectedEntryRemovesInstance(t *testing.T) {
-	vew := view.Empty().With([]cardamompass.Change{instance("i-1"), {
+	vew := view.Empty().WithChanges([]cardamompass.Change{instance("i-1"), {
 		InstanceGone: "i-1",
 		Rejected:     &cardamompass.RejectedEntry{},
-	}}, 2, view.Outage{Lasts: true}, start)
+	}}, 2, view.Outage{Ongoing: true}, start)
 	if len(vew.Instances("svc")) != 0 {
 		t.Fatal("the instance is still used")
 	}
@@ -105,7 +105,7 @@
 
 // Guards against evacuations and VMs that a listing no longer contains but that stay in force.
 func TestListingReplaces(t *testing.T) {
-	vew := view.Empty().With([]cardamompass.Change{
+	vew := view.Empty().WithChanges([]cardamompass.Change{
 		{Evacuated: "z-1"},
 		{VM: &cardamompass.VM{ID: "vm-1"}},
 		{Crash: &cardamompass.Crash{Fingerprint: "c-1", Instance: "i-1"}},
