--- a/world.go
+++ b/catalogue.go
@@ -9,8 +9,8 @@
 type RegionInfo struct {
 	Name           Region
 	FailureDomains []FailureDomain
-	// Near lists the other regions that may serve this region's callers, the preferred one first.
-	Near []Region
+	// FallbackRegions lists the other regions that may serve this region's callers, the preferred one first.
+	FallbackRegions []Region
 }
 
 // ClientBlocks assigns blocks of client addresses to a region.
@@ -68,8 +68,8 @@
 	LongPercent int
 }
 
-// Shift is the cap on requests of callers of one region that targets of another region serve.
-type Shift struct {
+// ShiftLimit is the cap on requests of callers of one region that targets of another region serve.
+type ShiftLimit struct {
 	Service           ServiceName
 	From              Region
 	To                Region
--- a/internal/conf/catlg/bench_test.go
+++ b/internal/conf/catlg/bench_test.go
@@ -31,7 +31,7 @@
 			}
 			add(catlg.NewEntry(catlg.LinkEntry(reg, oth), "network", cardamompass.Link{From: reg, To: oth, KbitPerSecond: 4_000_000, LongPercent: 60}))
 			for _, svc := range services {
-				add(catlg.NewEntry(catlg.ShiftEntry(svc, reg, oth), "network", cardamompass.Shift{Service: svc, From: reg, To: oth, RequestsPerSecond: 100_000}))
+				add(catlg.NewEntry(catlg.ShiftEntry(svc, reg, oth), "network", cardamompass.ShiftLimit{Service: svc, From: reg, To: oth, RequestsPerSecond: 100_000}))
 			}
 		}
 	}
--- a/internal/conf/catlg/catalogue.go
+++ b/internal/conf/catlg/catalogue.go
@@ -18,7 +18,7 @@
 	regions  []cardamompass.RegionInfo
 	services []cardamompass.Service
 	links    []cardamompass.Link
-	shifts   []cardamompass.Shift
+	shifts   []cardamompass.ShiftLimit
 	clients  []cardamompass.ClientBlocks
 	targets  map[place][]cardamompass.Target
 }
@@ -44,7 +44,7 @@
 			cat.targets[plc] = append(cat.targets[plc], spc)
 		case cardamompass.Link:
 			cat.links = append(cat.links, spc)
-		case cardamompass.Shift:
+		case cardamompass.ShiftLimit:
 			cat.shifts = append(cat.shifts, spc)
 		case cardamompass.ClientBlocks:
 			cat.clients = append(cat.clients, spc)
@@ -119,12 +119,12 @@
 func (cat *Catalogue) Links() []cardamompass.Link { return cat.links }
 
 // Shift returns the cap on a service's requests from callers of one region to targets of another.
-func (cat *Catalogue) Shift(svc cardamompass.ServiceName, from, to cardamompass.Region) (sft cardamompass.Shift, ok bool) {
-	return specAt[cardamompass.Shift](cat.doc, ShiftEntry(svc, from, to))
+func (cat *Catalogue) Shift(svc cardamompass.ServiceName, from, to cardamompass.Region) (sft cardamompass.ShiftLimit, ok bool) {
+	return specAt[cardamompass.ShiftLimit](cat.doc, ShiftEntry(svc, from, to))
 }
 
 // Shifts returns all shifts in the order of their names.
-func (cat *Catalogue) Shifts() []cardamompass.Shift { return cat.shifts }
+func (cat *Catalogue) Shifts() []cardamompass.ShiftLimit { return cat.shifts }
 
 // Clients returns all client blocks in the order of their entries' names.
 func (cat *Catalogue) Clients() []cardamompass.ClientBlocks { return cat.clients }
--- a/internal/conf/catlg/document_test.go
+++ b/internal/conf/catlg/document_test.go
@@ -79,7 +79,7 @@
 					if svc == tst.short && (tgts[0].Slots != tst.slots || tgts[0].Connections != tst.connections) {
 						t.Errorf("%+v", tgts[0])
 					}
-					for _, oth := range reg.Near {
+					for _, oth := range reg.FallbackRegions {
 						if lnk, ok := cat.Link(reg.Name, oth); !ok || lnk.KbitPerSecond != 4_000_000 {
 							t.Errorf("link %s to %s: %+v", reg.Name, oth, lnk)
 						}
@@ -186,7 +186,7 @@
 		to += strconv.Itoa(rate)
 	}
 	reg := cardamompass.Region(to)
-	ent, err := catlg.NewEntry(catlg.ShiftEntry("svc", "a", reg), owner, cardamompass.Shift{
+	ent, err := catlg.NewEntry(catlg.ShiftEntry("svc", "a", reg), owner, cardamompass.ShiftLimit{
 		Service:           "svc",
 		From:              "a",
 		To:                reg,
--- a/internal/conf/catlg/entry.go
+++ b/internal/conf/catlg/entry.go
@@ -12,7 +12,7 @@
 // Spec is the content of an entry.
 type Spec interface {
 	cardamompass.RegionInfo | cardamompass.Service | cardamompass.Target | cardamompass.Link |
-		cardamompass.Shift | cardamompass.ClientBlocks
+		cardamompass.ShiftLimit | cardamompass.ClientBlocks
 }
 
 // Entry is one entry of a document. It is immutable.
@@ -68,7 +68,7 @@
 		return TargetEntry(spc.ID)
 	case cardamompass.Link:
 		return LinkEntry(spc.From, spc.To)
-	case cardamompass.Shift:
+	case cardamompass.ShiftLimit:
 		return ShiftEntry(spc.Service, spc.From, spc.To)
 	default:
 		return ""
@@ -86,7 +86,7 @@
 	switch spc := spec.(type) {
 	case cardamompass.RegionInfo:
 		spc.FailureDomains = slices.Clone(spc.FailureDomains)
-		spc.Near = slices.Clone(spc.Near)
+		spc.FallbackRegions = slices.Clone(spc.FallbackRegions)
 		return spc
 	case cardamompass.ClientBlocks:
 		spc.Prefixes = slices.Clone(spc.Prefixes)
--- a/internal/conf/catlg/spec.go
+++ b/internal/conf/catlg/spec.go
@@ -64,7 +64,7 @@
 	case cardamompass.RegionInfo:
 		return regionForm{
 			FailureDomains: nonNil(spc.FailureDomains),
-			Near:           spc.Near,
+			Near:           spc.FallbackRegions,
 		}
 	case cardamompass.Service:
 		return serviceForm{
@@ -88,7 +88,7 @@
 			KbitPerSecond: spc.KbitPerSecond,
 			LongPercent:   spc.LongPercent,
 		}
-	case cardamompass.Shift:
+	case cardamompass.ShiftLimit:
 		return shiftForm{
 			RequestsPerSecond: spc.RequestsPerSecond,
 		}
@@ -168,7 +168,7 @@
 			LongPercent:   rdr.count("long-percent"),
 		}
 	case KindShift:
-		return cardamompass.Shift{
+		return cardamompass.ShiftLimit{
 			Service:           cardamompass.ServiceName(pts[0]),
 			From:              cardamompass.Region(pts[1]),
 			To:                cardamompass.Region(pts[2]),
@@ -182,7 +182,7 @@
 func decodeRegion(rdr specReader, name string) (spec cardamompass.RegionInfo) {
 	spec.Name = cardamompass.Region(name)
 	spec.FailureDomains = texts[cardamompass.FailureDomain](rdr.Need("failure-domains"))
-	spec.Near = texts[cardamompass.Region](rdr.Get("near"))
+	spec.FallbackRegions = texts[cardamompass.Region](rdr.Get("near"))
 	return spec
 }
 
--- a/internal/conf/catlg/validate.go
+++ b/internal/conf/catlg/validate.go
@@ -124,7 +124,7 @@
 		chk.pair(ent.Name, spc.From, spc.To)
 		chk.within(ent.Name, "kbit-per-second", spc.KbitPerSecond, 1, maxKbitPerSecond)
 		chk.within(ent.Name, "long-percent", int64(spc.LongPercent), 1, 99)
-	case cardamompass.Shift:
+	case cardamompass.ShiftLimit:
 		chk.pair(ent.Name, spc.From, spc.To)
 		chk.service(ent.Name, "service", spc.Service)
 		chk.within(ent.Name, "requests-per-second", spc.RequestsPerSecond, 0, maxRequestsPerSecond)
@@ -145,7 +145,7 @@
 		seen[string(dom)] = true
 	}
 	near := map[cardamompass.Region]bool{}
-	for _, reg := range spc.Near {
+	for _, reg := range spc.FallbackRegions {
 		switch {
 		case reg == spc.Name:
 			chk.add(nam, "near", "a region is not near itself; remove %q", reg)
--- a/internal/edge/direct/direct.go
+++ b/internal/edge/direct/direct.go
@@ -51,13 +51,13 @@
 
 // ServeHTTP implements http.Handler.
 func (hnd *Handler) ServeHTTP(wrt http.ResponseWriter, req *http.Request) {
-	lkp := hnd.cfg.Protocol.Lookup(req.URL.Query())
+	lkp := hnd.cfg.Protocol.ParseLookup(req.URL.Query())
 	ttl := answerTTL
 	if hnd.cfg.MaxTTL > 0 {
 		ttl = min(ttl, hnd.cfg.MaxTTL)
 	}
 	addresses := Addresses(hnd.running(), lkp)
-	body, err := hnd.cfg.Protocol.LookupAnswer(addresses, ttl)
+	body, err := hnd.cfg.Protocol.EncodeLookupResponse(addresses, ttl)
 	if err != nil || len(addresses) == 0 {
 		hnd.cfg.Log.Warn("look-up refused", zap.Error(err), zap.Int("addresses", len(addresses)))
 		wrt.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/edge/engine/attempt.go
+++ b/internal/edge/engine/attempt.go
@@ -28,7 +28,7 @@
 // result is the end of one attempt.
 type result struct {
 	clm *claim
-	ans cardamompass.Answer
+	ans cardamompass.Response
 	err error
 	// held is set when the answer's body still holds the claim; it is finished when the body is closed.
 	held bool
--- a/internal/edge/engine/engine_test.go
+++ b/internal/edge/engine/engine_test.go
@@ -162,7 +162,7 @@
 	return eng
 }
 
-func (bed *bed) execute(t *testing.T, rid string, idempotent bool, timeout time.Duration, header http.Header) (cardamompass.Answer, error) {
+func (bed *bed) execute(t *testing.T, rid string, idempotent bool, timeout time.Duration, header http.Header) (cardamompass.Response, error) {
 	t.Helper()
 	return bed.eng.Execute(t.Context(), cardamompass.Request{
 		ID:           cardamompass.RequestID(rid),
--- a/internal/edge/engine/execute.go
+++ b/internal/edge/engine/execute.go
@@ -29,7 +29,7 @@
 const reservePause = 10 * time.Millisecond
 
 // Execute runs a request on a target and returns its answer, which the caller must close.
-func (eng *Engine) Execute(ctx context.Context, req cardamompass.Request) (ans cardamompass.Answer, err error) {
+func (eng *Engine) Execute(ctx context.Context, req cardamompass.Request) (ans cardamompass.Response, err error) {
 	if _, err := eng.Service(req.Service); err != nil {
 		return ans, err
 	}
@@ -62,7 +62,7 @@
 	eng.record(rqt, &rec, err, eng.cfg.Clock.Now().Sub(began))
 	if err != nil {
 		cancel()
-		return cardamompass.Answer{}, err
+		return cardamompass.Response{}, err
 	}
 	ans.Body = &cancelBody{
 		ReadCloser: ans.Body,
@@ -72,7 +72,7 @@
 }
 
 // run makes attempts until one is answered or no further one is allowed.
-func (rqt *request) run(ctx context.Context, rec *dump.Decision) (ans cardamompass.Answer, err error) {
+func (rqt *request) run(ctx context.Context, rec *dump.Decision) (ans cardamompass.Response, err error) {
 	for num := 0; ; num++ {
 		clm, err := rqt.claim(ctx)
 		if err != nil {
--- a/internal/edge/engine/naive.go
+++ b/internal/edge/engine/naive.go
@@ -19,7 +19,7 @@
 
 // runNaive is the baseline that the steering is measured against: round robin over the healthy targets of the caller's
 // region, one retry on any error, no shares, no hedges, no guard.
-func (rqt *request) runNaive(ctx context.Context) (ans cardamompass.Answer, err error) {
+func (rqt *request) runNaive(ctx context.Context) (ans cardamompass.Response, err error) {
 	for range 2 {
 		ans, err = rqt.attemptNaive(ctx)
 		if err == nil {
@@ -32,7 +32,7 @@
 	return ans, err
 }
 
-func (rqt *request) attemptNaive(ctx context.Context) (ans cardamompass.Answer, err error) {
+func (rqt *request) attemptNaive(ctx context.Context) (ans cardamompass.Response, err error) {
 	eng := rqt.eng
 	now := eng.cfg.Clock.Now()
 	snp := eng.cfg.Tracker.Snapshot(rqt.req.Service, now, route.Snapshot{})
--- a/internal/edge/engine/plan.go
+++ b/internal/edge/engine/plan.go
@@ -21,7 +21,7 @@
 // near returns the regions that may serve callers of reg, in order of preference, reg itself left out.
 func (pln *plan) near(reg cardamompass.Region) []cardamompass.Region {
 	inf, _ := pln.cat.Region(reg)
-	return inf.Near
+	return inf.FallbackRegions
 }
 
 // shiftTimes remembers since when a service's requests shift to a region without a longer pause.
--- a/internal/edge/entry/caller.go
+++ b/internal/edge/entry/caller.go
@@ -148,7 +148,7 @@
 	}
 	ctl := http.NewResponseController(rsw)
 	_ = ctl.SetWriteDeadline(req.Deadline.Add(writeGrace))
-	var ans cardamompass.Answer
+	var ans cardamompass.Response
 	if req.Idempotent {
 		ans, err = prc.engine.Execute(rqs.Context(), req)
 	} else {
@@ -180,7 +180,7 @@
 
 // passOn writes the answer. When it can't be written whole, the connection is cut before the declared end, so that the
 // caller sees that the answer is not whole.
-func (prc *Process) passOn(rsw http.ResponseWriter, req cardamompass.Request, ans cardamompass.Answer) {
+func (prc *Process) passOn(rsw http.ResponseWriter, req cardamompass.Request, ans cardamompass.Response) {
 	defer func() { _ = ans.Body.Close() }()
 	hdr := rsw.Header()
 	for name, values := range ans.Header {
--- a/internal/edge/front/bench_test.go
+++ b/internal/edge/front/bench_test.go
@@ -65,7 +65,7 @@
 	mtr, stopMetrics := metric.New(metric.Config{})
 	defer stopMetrics()
 	frt, stopFront := front.New(front.Config{
-		Settings: cardamompass.VMSettings{RepeatPercent: 20, RepeatSlack: 56, RepeatWindow: 10 * time.Second},
+		Settings: cardamompass.VMSettings{RetryBudgetPercent: 20, RetryBudgetSlack: 56, RetryBudgetWindow: 10 * time.Second},
 		Protocol: platform.Protocol{},
 		Clock:    cardamompass.SystemClock{},
 		Log:      log,
--- a/internal/edge/front/crash.go
+++ b/internal/edge/front/crash.go
@@ -27,9 +27,9 @@
 )
 
 // fingerprint identifies the content of a request: a caller that sends it again uses another request id.
-func fingerprint(req *http.Request, inc cardamompass.Incoming, body []byte) (text string) {
+func fingerprint(req *http.Request, inc cardamompass.RequestInfo, body []byte) (text string) {
 	dgs := xxhash.New()
-	for _, part := range []string{req.Method, req.Host, req.RequestURI, inc.Object} {
+	for _, part := range []string{req.Method, req.Host, req.RequestURI, inc.AffinityKey} {
 		_, _ = dgs.WriteString(part + "\x00") // a digest does not fail
 	}
 	_, _ = dgs.Write(body)
--- a/internal/edge/front/export_test.go
+++ b/internal/edge/front/export_test.go
@@ -6,7 +6,7 @@
 func (frt *Front) Fingerprint(req *http.Request, body []byte) (text string) {
 	seen := req.Clone(req.Context())
 	seen.RequestURI = req.URL.RequestURI()
-	return fingerprint(seen, frt.cfg.Protocol.Incoming(req.Header), body)
+	return fingerprint(seen, frt.cfg.Protocol.ParseRequest(req.Header), body)
 }
 
 // Wait waits for the checks of broken connections.
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -104,7 +104,7 @@
 		frt:   frt,
 		wrt:   wrt,
 		req:   req,
-		inc:   frt.cfg.Protocol.Incoming(req.Header),
+		inc:   frt.cfg.Protocol.ParseRequest(req.Header),
 		vew:   frt.cfg.View(),
 		start: now,
 	}
@@ -117,7 +117,7 @@
 	frt     *Front
 	wrt     http.ResponseWriter
 	req     *http.Request
-	inc     cardamompass.Incoming
+	inc     cardamompass.RequestInfo
 	vew     *view.View
 	route   *cardamompass.Route
 	service cardamompass.ServiceName
@@ -191,8 +191,8 @@
 		wait = min(wait, exc.route.Timeout)
 	}
 	obj := rand.Uint64()
-	if exc.route.Sticky && exc.inc.Object != "" {
-		obj = place.ObjectHash(exc.service, exc.inc.Object)
+	if exc.route.Sticky && exc.inc.AffinityKey != "" {
+		obj = place.ObjectHash(exc.service, exc.inc.AffinityKey)
 	}
 	run := &job{
 		exc:         exc,
@@ -301,7 +301,7 @@
 	ela := exc.frt.cfg.Clock.Now().Sub(exc.start)
 	exc.frt.met.finished(exc.route, exc.service, outcome, ela)
 	fields := []zap.Field{
-		zap.String("route", exc.route.Name), zap.String("service", string(exc.service)), zap.String("object", exc.inc.Object),
+		zap.String("route", exc.route.Name), zap.String("service", string(exc.service)), zap.String("object", exc.inc.AffinityKey),
 		zap.String("outcome", outcome), zap.Int("status", status), zap.Duration("took", ela),
 		zap.Duration("allowed", run.msg.Deadline.Sub(exc.start)), zap.Int("sent", len(run.tried)), zap.Uint64("table", exc.vew.Table.Version),
 		zap.Duration("store-age", exc.frt.cfg.Age()),
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -39,29 +39,29 @@
 const service = cardamompass.ServiceName("svc")
 
 func routes() (tbl *cardamompass.RoutingTable) {
-	route := func(prefix string, idempotent bool, parts ...cardamompass.Part) (rte cardamompass.Route) {
+	route := func(prefix string, idempotent bool, parts ...cardamompass.WeightedService) (rte cardamompass.Route) {
 		return cardamompass.Route{
-			Name:       prefix,
-			Host:       "h.example",
-			Prefix:     prefix,
-			Idempotent: idempotent,
-			Timeout:    400 * time.Millisecond,
-			Objective:  2 * time.Second, // no second copies unless a test wants them
-			Parts:      parts,
-			MaxTargets: 2,
-			Sticky:     true,
+			Name:             prefix,
+			Host:             "h.example",
+			Prefix:           prefix,
+			Idempotent:       idempotent,
+			Timeout:          400 * time.Millisecond,
+			LatencyObjective: 2 * time.Second, // no second copies unless a test wants them
+			WeightedServices: parts,
+			MaxTargets:       2,
+			Sticky:           true,
 		}
 	}
-	one := cardamompass.Part{Service: service, Weight: 1}
+	one := cardamompass.WeightedService{Service: service, Weight: 1}
 	hedged := route("/hedged/", true, one)
-	hedged.Objective = 50 * time.Millisecond
+	hedged.LatencyObjective = 50 * time.Millisecond
 	return &cardamompass.RoutingTable{
 		Version: 1,
 		Routes: []cardamompass.Route{
 			route("/read/", true, one),
 			route("/read/deep/", false, one),
 			route("/write/", false, one),
-			route("/split/", true, cardamompass.Part{Service: service, Weight: 3}, cardamompass.Part{Service: "none", Weight: 1}),
+			route("/split/", true, cardamompass.WeightedService{Service: service, Weight: 3}, cardamompass.WeightedService{Service: "none", Weight: 1}),
 			hedged,
 		},
 		Limits: cardamompass.CallerLimits{
@@ -83,7 +83,7 @@
 	})
 	mtr, stopMetrics := metric.New(metric.Config{})
 	frt, stopFront := front.New(front.Config{
-		Settings: cardamompass.VMSettings{RepeatPercent: 20, RepeatSlack: 56, RepeatWindow: 10 * time.Second},
+		Settings: cardamompass.VMSettings{RetryBudgetPercent: 20, RetryBudgetSlack: 56, RetryBudgetWindow: 10 * time.Second},
 		Protocol: platform.Protocol{},
 		Clock:    cardamompass.SystemClock{},
 		Log:      zap.NewNop(),
@@ -276,7 +276,7 @@
 func TestRepeatsWithoutATargetCostNothing(t *testing.T) {
 	sit := newSite(t, 2)
 	second, _ := sit.view().Instance("i-1")
-	sit.apply(cardamompass.Change{InstanceGone: "i-1"})
+	sit.apply(cardamompass.Change{InstanceRemoved: "i-1"})
 	sit.set(ptarg.FaultError)
 	const more = 40 // above the 28 repeats that may be taken at once
 	for num := range more {
--- a/internal/edge/front/share.go
+++ b/internal/edge/front/share.go
@@ -35,15 +35,15 @@
 	now := frt.cfg.Clock.Now()
 	set := frt.cfg.Settings
 	count := frt.cfg.Board.VMs(now)
-	minimum := int(math.Floor(budgetSafety * float64(set.RepeatSlack) / float64(count)))
+	minimum := int(math.Floor(budgetSafety * float64(set.RetryBudgetSlack) / float64(count)))
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
 	bud, ok := frt.budgets[svc]
 	if !ok {
 		bud = budget.New(budget.Config{
-			Percent: int(budgetSafety * float64(set.RepeatPercent)),
+			Percent: int(budgetSafety * float64(set.RetryBudgetPercent)),
 			Minimum: minimum,
-			Window:  set.RepeatWindow,
+			Window:  set.RetryBudgetWindow,
 		}, now)
 		frt.budgets[svc] = bud
 	}
@@ -54,7 +54,7 @@
 // hedgeDelay is the time after which a second target is asked.
 func (run *job) hedgeDelay() (dur time.Duration) {
 	typ := run.exc.frt.typicalTime(run.exc.route, 0)
-	latest := run.exc.route.Objective - time.Duration(secondCopy*float64(typ)) - answerMargin
+	latest := run.exc.route.LatencyObjective - time.Duration(secondCopy*float64(typ)) - answerMargin
 	return max(latest, time.Duration(soonestCopy*float64(typ)))
 }
 
@@ -65,7 +65,7 @@
 	key := rte.Host + rte.Prefix
 	typ, ok := frt.typical[key]
 	if !ok {
-		typ = time.Duration(firstTypical * float64(rte.Objective))
+		typ = time.Duration(firstTypical * float64(rte.LatencyObjective))
 	}
 	switch {
 	case ela > typ:
@@ -92,13 +92,13 @@
 
 // part returns the service of the next request of a route: the one that lies furthest behind its weight.
 func (frt *Front) part(rte *cardamompass.Route) (svc cardamompass.ServiceName) {
-	if len(rte.Parts) == 1 {
-		return rte.Parts[0].Service
+	if len(rte.WeightedServices) == 1 {
+		return rte.WeightedServices[0].Service
 	}
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
 	key := rte.Host + rte.Prefix
-	for _, prt := range rte.Parts {
+	for _, prt := range rte.WeightedServices {
 		key += "|" + string(prt.Service) + "=" + formatWeight(prt.Weight)
 	}
 	spl, ok := frt.splits[key]
@@ -108,10 +108,10 @@
 		}
 		frt.splits[key] = spl
 	}
-	return spl.next(rte.Parts)
+	return spl.next(rte.WeightedServices)
 }
 
-func (spl *split) next(parts []cardamompass.Part) (svc cardamompass.ServiceName) {
+func (spl *split) next(parts []cardamompass.WeightedService) (svc cardamompass.ServiceName) {
 	weights := 0.0
 	for _, prt := range parts {
 		weights += prt.Weight
--- a/internal/edge/lookup/bench_test.go
+++ b/internal/edge/lookup/bench_test.go
@@ -133,7 +133,7 @@
 		var inf cardamompass.RegionInfo
 		for oth := range regions {
 			if oth != num {
-				inf.Near = append(inf.Near, cardamompass.Region(fmt.Sprintf("region-%02d", oth)))
+				inf.FallbackRegions = append(inf.FallbackRegions, cardamompass.Region(fmt.Sprintf("region-%02d", oth)))
 			}
 		}
 		view.Regions[cardamompass.Region(fmt.Sprintf("region-%02d", num))] = inf
--- a/internal/edge/lookup/lookup.go
+++ b/internal/edge/lookup/lookup.go
@@ -222,7 +222,7 @@
 // Order returns the entry VMs for callers of a region, at most MaxVMs, in the given rotation of 64. When the region has
 // MaxVMs or more, the last place goes to a VM of a near region, so that a caller still has one when its region fails.
 func Order(view View, reg cardamompass.Region, rot int) (list []cardamompass.VM) {
-	near := append([]cardamompass.Region{reg}, view.Regions[reg].Near...)
+	near := append([]cardamompass.Region{reg}, view.Regions[reg].FallbackRegions...)
 	var suspects []cardamompass.VM
 	for pos, nbr := range near {
 		alive, doubtful := serving(view.Members, nbr)
--- a/internal/edge/lookup/lookup_test.go
+++ b/internal/edge/lookup/lookup_test.go
@@ -119,9 +119,9 @@
 			member("p2", "piedmont", "b", cardamompass.StateLeaving),
 		},
 		Regions: map[cardamompass.Region]cardamompass.RegionInfo{
-			"gulf":     {Near: []cardamompass.Region{"delta", "piedmont"}},
-			"delta":    {Near: []cardamompass.Region{"gulf", "piedmont"}},
-			"piedmont": {Near: []cardamompass.Region{"delta", "gulf"}},
+			"gulf":     {FallbackRegions: []cardamompass.Region{"delta", "piedmont"}},
+			"delta":    {FallbackRegions: []cardamompass.Region{"gulf", "piedmont"}},
+			"piedmont": {FallbackRegions: []cardamompass.Region{"delta", "gulf"}},
 		},
 		Services: map[cardamompass.ServiceName]bool{"kiosk-core": true},
 	}
--- a/internal/edge/oper/service.go
+++ b/internal/edge/oper/service.go
@@ -19,7 +19,7 @@
 
 // Execute sends an operation to a target. It is called at most once at a time for one operation, and returns a
 // NotRunError or an InvalidError only for an operation that certainly did not run. It must return when ctx ends.
-type Execute func(ctx context.Context, req cardamompass.Request) (ans cardamompass.Answer, err error)
+type Execute func(ctx context.Context, req cardamompass.Request) (ans cardamompass.Response, err error)
 
 // Config configures a Service. Zero values of the bounds stand for the defaults.
 type Config struct {
@@ -101,7 +101,7 @@
 // Errors: NotRunError, UnknownOutcomeError, InvalidError, and RanError for an operation whose answer is not held.
 func (svc *Service) Run(
 	ctx context.Context, req cardamompass.Request, execute Execute,
-) (ans cardamompass.Answer, err error) {
+) (ans cardamompass.Response, err error) {
 	defer func() { err = errors.Wrapf(err, "operation %s", req.ID) }()
 	opn, err := identify(req)
 	if err != nil {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return ans, err
 	}
-	return cardamompass.Answer{
+	return cardamompass.Response{
 		Status: oct.Status,
 		Header: oct.Header.Clone(),
 		Body:   io.NopCloser(bytes.NewReader(oct.Body)),
--- a/internal/edge/oper/sim_test.go
+++ b/internal/edge/oper/sim_test.go
@@ -89,19 +89,19 @@
 
 // execute is one attempt at a target. It counts the arrival, which may come after the attempt was given up.
 func (wld *world) execute(nod *node) oper.Execute {
-	return func(ctx context.Context, req cardamompass.Request) (cardamompass.Answer, error) {
+	return func(ctx context.Context, req cardamompass.Request) (cardamompass.Response, error) {
 		key := fmt.Sprint("target", req.ID, nod.vm.ID)
 		if !wld.awake(nod) {
-			return cardamompass.Answer{}, errLost
+			return cardamompass.Response{}, errLost
 		}
 		switch wld.number(key, 6) {
 		case 0:
 			wld.delay(key)
-			return cardamompass.Answer{}, &cardamompass.NotRunError{
+			return cardamompass.Response{}, &cardamompass.NotRunError{
 				Reason: "shed",
 			}
 		case 1:
-			return cardamompass.Answer{}, &cardamompass.UnknownOutcomeError{
+			return cardamompass.Response{}, &cardamompass.UnknownOutcomeError{
 				Reason: "cut",
 			}
 		}
@@ -111,9 +111,9 @@
 		wld.mu.Unlock()
 		wld.delay(key)
 		if wld.chance(key, 20) || ctx.Err() != nil || !wld.awake(nod) {
-			return cardamompass.Answer{}, errLost
+			return cardamompass.Response{}, errLost
 		}
-		return cardamompass.Answer{
+		return cardamompass.Response{
 			Status: 200,
 			Body:   io.NopCloser(strings.NewReader(string(req.ID))),
 		}, nil
--- a/internal/edge/oper/table_test.go
+++ b/internal/edge/oper/table_test.go
@@ -209,10 +209,10 @@
 			Deadline: nod.clk.Now().Add(10 * time.Second),
 		}
 		runs := 0
-		execute := func(context.Context, cardamompass.Request) (cardamompass.Answer, error) {
+		execute := func(context.Context, cardamompass.Request) (cardamompass.Response, error) {
 			runs++
 			time.Sleep(2 * time.Second)
-			return cardamompass.Answer{
+			return cardamompass.Response{
 				Body: io.NopCloser(strings.NewReader("done")),
 			}, nil
 		}
@@ -260,11 +260,11 @@
 			},
 			Peers: rpcCaller{clt: clt},
 			Clock: man,
-			Execute: func(_ context.Context, req cardamompass.Request) (ans cardamompass.Answer, err error) {
+			Execute: func(_ context.Context, req cardamompass.Request) (ans cardamompass.Response, err error) {
 				if req.ID == "shed" {
 					return ans, &cardamompass.NotRunError{Reason: "shed"}
 				}
-				return cardamompass.Answer{Status: 201, Body: io.NopCloser(bytes.NewReader(req.Body))}, nil
+				return cardamompass.Response{Status: 201, Body: io.NopCloser(bytes.NewReader(req.Body))}, nil
 			},
 		})
 		if err != nil {
--- a/internal/edge/relay/answer.go
+++ b/internal/edge/relay/answer.go
@@ -65,7 +65,7 @@
 // readShort reads an answer whole.
 func (rly *Relay) readShort(
 	ctx context.Context, atm Attempt, rsp *http.Response, lgr *ledger,
-) (ans cardamompass.Answer, err error) {
+) (ans cardamompass.Response, err error) {
 	defer rsp.Body.Close() //nolint:errcheck // the body was read to its end or is given up
 	length := bodyLength(rsp)
 	if length > rly.cfg.MaxShortBytes {
@@ -83,7 +83,7 @@
 		return ans, lgr.bad(atm.Target.ID, "bytes follow its declared end")
 	}
 	strip(rsp.Header)
-	return cardamompass.Answer{
+	return cardamompass.Response{
 		Status: rsp.StatusCode,
 		Header: rsp.Header,
 		Body:   io.NopCloser(bytes.NewReader(buf)),
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -135,7 +135,7 @@
 // answer stays bound to ctx and to the request's deadline.
 //
 // Errors: NotRunError, UnknownOutcomeError, and InvalidError for an attempt that can't be sent as it is.
-func (rly *Relay) Do(ctx context.Context, atm Attempt) (ans cardamompass.Answer, err error) {
+func (rly *Relay) Do(ctx context.Context, atm Attempt) (ans cardamompass.Response, err error) {
 	defer func() {
 		if err != nil { // the arguments are allocated only then
 			err = errors.Wrapf(err, "attempt %s to target %s", atm.AttemptID, atm.Target.ID)
--- a/internal/edge/relay/stream.go
+++ b/internal/edge/relay/stream.go
@@ -17,7 +17,7 @@
 // stream returns a long answer whose body is read from the target as the receiver reads it.
 func (rly *Relay) stream(
 	ctx context.Context, cancel context.CancelFunc, atm Attempt, rsp *http.Response, lgr *ledger,
-) (ans cardamompass.Answer) {
+) (ans cardamompass.Response) {
 	str := &stream{
 		rly:    rly,
 		ctx:    ctx,
@@ -33,7 +33,7 @@
 	}
 	length := rsp.ContentLength
 	strip(rsp.Header)
-	return cardamompass.Answer{
+	return cardamompass.Response{
 		Status: rsp.StatusCode,
 		Header: rsp.Header,
 		Body:   str,
--- a/internal/edge/send/send.go
+++ b/internal/edge/send/send.go
@@ -79,7 +79,7 @@
 	// Answered is set when the target sent the header of an answer.
 	Answered bool
 	// Stated is what a target said that shed the request.
-	Stated cardamompass.Stated
+	Stated cardamompass.ResponseInfo
 	Err    error
 }
 
@@ -109,7 +109,7 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	Stated cardamompass.Stated
+	Stated cardamompass.ResponseInfo
 }
 
 // Config configures a Sender.
@@ -218,7 +218,7 @@
 	for name, values := range msg.Header {
 		hdr[name] = values
 	}
-	snd.cfg.Protocol.Outgoing(hdr, ins.ID, left)
+	snd.cfg.Protocol.SetRequestHeaders(hdr, ins.ID, left)
 	if msg.HasBody {
 		hdr["Content-Length"] = []string{strconv.Itoa(len(msg.Body))}
 	}
@@ -243,7 +243,7 @@
 		if rsp.StatusCode < http.StatusOK {
 			continue
 		}
-		std := snd.cfg.Protocol.Stated(rsp.StatusCode, rsp.Header)
+		std := snd.cfg.Protocol.ParseResponse(rsp.StatusCode, rsp.Header)
 		data, err := readBody(rsp)
 		if err != nil {
 			return rep, false, readFailure(ctx, err, true)
@@ -275,7 +275,7 @@
 	}
 }
 
-func shed(std cardamompass.Stated, status int) (err *Failure) {
+func shed(std cardamompass.ResponseInfo, status int) (err *Failure) {
 	kind := KindShed
 	if std.OtherInstance {
 		kind = KindOther
--- a/internal/fleet/view/follow.go
+++ b/internal/fleet/view/follow.go
@@ -225,16 +225,16 @@
 			log.Info("target registered", zap.String("instance", string(chg.Instance.ID)),
 				zap.String("service", string(chg.Instance.Service)), zap.String("address", chg.Instance.Address),
 				zap.Bool("leaving", chg.Instance.Leaving), zap.Duration("cold", chg.Instance.ColdFor))
-		case chg.InstanceGone != "":
-			log.Info("target entry removed", zap.String("instance", string(chg.InstanceGone)))
+		case chg.InstanceRemoved != "":
+			log.Info("target entry removed", zap.String("instance", string(chg.InstanceRemoved)))
 		case chg.Evacuated != "":
 			log.Info("failure domain evacuated", zap.String("failure-domain", string(chg.Evacuated)))
 		case chg.Restored != "":
 			log.Info("failure domain restored", zap.String("failure-domain", string(chg.Restored)))
 		case chg.VM != nil:
 			log.Info("vm running", zap.String("vm", string(chg.VM.ID)), zap.String("address", chg.VM.CallerAddress))
-		case chg.VMGone != "":
-			log.Info("vm gone", zap.String("vm", string(chg.VMGone)))
+		case chg.VMRemoved != "":
+			log.Info("vm gone", zap.String("vm", string(chg.VMRemoved)))
 		case chg.Crash != nil:
 			log.Warn("crash known", zap.String("fingerprint", chg.Crash.Fingerprint), zap.String("instance", string(chg.Crash.Instance)))
 		}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -159,23 +159,23 @@
 	case chg.Instance != nil:
 		vew.instances[chg.Instance.ID] = *chg.Instance
 		delete(vew.missing, chg.Instance.ID)
-	case chg.InstanceGone != "" && chg.Rejected != nil:
-		delete(vew.instances, chg.InstanceGone)
-		delete(vew.missing, chg.InstanceGone)
-	case chg.InstanceGone != "":
-		vew.removeInstance(chg.InstanceGone, out, now)
+	case chg.InstanceRemoved != "" && chg.Rejected != nil:
+		delete(vew.instances, chg.InstanceRemoved)
+		delete(vew.missing, chg.InstanceRemoved)
+	case chg.InstanceRemoved != "":
+		vew.removeInstance(chg.InstanceRemoved, out, now)
 	case chg.Evacuated != "":
 		vew.evacuated[chg.Evacuated] = true
 	case chg.Restored != "":
 		delete(vew.evacuated, chg.Restored)
 	case chg.VM != nil:
 		vew.vms[chg.VM.ID] = *chg.VM
-	case chg.VMGone != "":
-		delete(vew.vms, chg.VMGone)
+	case chg.VMRemoved != "":
+		delete(vew.vms, chg.VMRemoved)
 	case chg.Crash != nil:
 		vew.crashes[*chg.Crash] = true
-	case chg.CrashGone != nil:
-		delete(vew.crashes, *chg.CrashGone)
+	case chg.CrashRemoved != nil:
+		delete(vew.crashes, *chg.CrashRemoved)
 	}
 }
 
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -30,7 +30,7 @@
 
 func gone(id string) (chg cardamompass.Change) {
 	return cardamompass.Change{
-		InstanceGone: cardamompass.InstanceID(id),
+		InstanceRemoved: cardamompass.InstanceID(id),
 	}
 }
 
@@ -95,8 +95,8 @@
 // Guards against a target that stays in use after its entry was overwritten by something that can't be read.
 func TestRejectedEntryRemovesInstance(t *testing.T) {
 	vew := view.Empty().WithChanges([]cardamompass.Change{instance("i-1"), {
-		InstanceGone: "i-1",
-		Rejected:     &cardamompass.RejectedEntry{},
+		InstanceRemoved: "i-1",
+		Rejected:        &cardamompass.RejectedEntry{},
 	}}, 2, view.Outage{Ongoing: true}, start)
 	if len(vew.Instances("svc")) != 0 {
 		t.Fatal("the instance is still used")
--- a/internal/load/bench/storm.go
+++ b/internal/load/bench/storm.go
@@ -64,7 +64,7 @@
 
 func limitShifts(cfg *demo.Config) (err error) {
 	for _, reg := range []cardamompass.Region{delta, piedmont} {
-		ent, err := catlg.NewEntry(catlg.ShiftEntry(demo.Short, gulf, reg), "operations-team", cardamompass.Shift{
+		ent, err := catlg.NewEntry(catlg.ShiftEntry(demo.Short, gulf, reg), "operations-team", cardamompass.ShiftLimit{
 			Service:           demo.Short,
 			From:              gulf,
 			To:                reg,
--- a/internal/proof/limit/site_test.go
+++ b/internal/proof/limit/site_test.go
@@ -49,9 +49,9 @@
 	sml, err := demo.Small(nil)
 	must(tst, err)
 	entries = append(entries, newEntry(tst, catlg.RegionEntry("gulf"), cardamompass.RegionInfo{
-		Name:           "gulf",
-		FailureDomains: []cardamompass.FailureDomain{"a", "b"},
-		Near:           []cardamompass.Region{"delta"},
+		Name:            "gulf",
+		FailureDomains:  []cardamompass.FailureDomain{"a", "b"},
+		FallbackRegions: []cardamompass.Region{"delta"},
 	}))
 	return procs.Config{
 		Dir:      tst.TempDir(),
@@ -71,7 +71,7 @@
 // shiftEntry caps the shift of a service from gulf to delta.
 func shiftEntry(tst *testing.T, svc cardamompass.ServiceName, perSecond int64) catlg.Entry {
 	tst.Helper()
-	return newEntry(tst, catlg.ShiftEntry(svc, "gulf", "delta"), cardamompass.Shift{
+	return newEntry(tst, catlg.ShiftEntry(svc, "gulf", "delta"), cardamompass.ShiftLimit{
 		Service:           svc,
 		From:              "gulf",
 		To:                "delta",
--- a/internal/stand/demo/magnolia.go
+++ b/internal/stand/demo/magnolia.go
@@ -88,9 +88,9 @@
 			}
 		}
 		add(&bld, catlg.RegionEntry(reg), cardamompass.RegionInfo{
-			Name:           reg,
-			FailureDomains: []cardamompass.FailureDomain{"a", "b"},
-			Near:           near,
+			Name:            reg,
+			FailureDomains:  []cardamompass.FailureDomain{"a", "b"},
+			FallbackRegions: near,
 		})
 		for _, oth := range near {
 			addCrossing(&bld, reg, oth)
@@ -125,7 +125,7 @@
 		LongPercent:   80,
 	})
 	for _, svc := range []cardamompass.ServiceName{Short, Long} {
-		add(bld, catlg.ShiftEntry(svc, from, to), cardamompass.Shift{
+		add(bld, catlg.ShiftEntry(svc, from, to), cardamompass.ShiftLimit{
 			Service:           svc,
 			From:              from,
 			To:                to,
--- a/internal/steer/place/choose.go
+++ b/internal/steer/place/choose.go
@@ -258,7 +258,7 @@
 		rej.Leaving++
 	case brd.vew.Evacuated(ins.FailureDomain):
 		rej.Evacuated++
-	case !qry.Route.Home(ins.Region):
+	case !qry.Route.AllowsRegion(ins.Region):
 		rej.Away++
 	case slices.Contains(qry.Tried, ins.ID):
 		rej.Tried++
--- a/internal/steer/place/place_test.go
+++ b/internal/steer/place/place_test.go
@@ -129,7 +129,7 @@
 		{"tried", nil, func(qry *place.Query) { qry.Tried = []cardamompass.InstanceID{"i-001"} }, func(rej place.Rejected) int { return rej.Tried }},
 		{"not at home", nil, func(qry *place.Query) {
 			qry.Route = &cardamompass.Route{
-				Homes: []cardamompass.Region{"b"},
+				HomeRegions: []cardamompass.Region{"b"},
 			}
 		}, func(rej place.Rejected) int { return rej.Away }},
 	}
--- a/protocol.go
+++ b/protocol.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Incoming is what the headers of a caller's request say.
-type Incoming struct {
+// RequestInfo is what the headers of a caller's request say.
+type RequestInfo struct {
 	// ID identifies one sending of a request by a caller.
 	ID RequestID
 	// Timeout is how long the caller waits; 0 if it did not say.
 	Timeout time.Duration
-	// Object names what the request is about; empty if it did not say. Targets are faster on objects they have handled before.
-	Object string
+	// AffinityKey names what the request is about; empty if it did not say. Targets are faster on objects they have handled before.
+	AffinityKey string
 }
 
-// Stated is what the status and the headers of a target's answer say.
-type Stated struct {
+// ResponseInfo is what the status and the headers of a target's answer say.
+type ResponseInfo struct {
 	// ID is the request that is answered; empty if the answer does not say.
 	ID RequestID
 	// Signed is set when the answer carries the target's signature.
@@ -41,17 +41,17 @@
 
 // Protocol is the vocabulary of callers and targets on HTTP. Implementations are safe for concurrent use.
 type Protocol interface {
-	// Incoming reads the headers of a caller's request.
-	Incoming(hdr http.Header) (inc Incoming)
-	// Outgoing sets the headers of a request to an instance that has left for its answer. hdr holds what the caller sent.
-	Outgoing(hdr http.Header, ins InstanceID, left time.Duration)
-	// Stated reads the status and headers of a target's answer.
-	Stated(status int, hdr http.Header) (std Stated)
+	// ParseRequest reads the headers of a caller's request.
+	ParseRequest(hdr http.Header) (inc RequestInfo)
+	// SetRequestHeaders sets the headers of a request to an instance that has left for its answer. hdr holds what the caller sent.
+	SetRequestHeaders(hdr http.Header, ins InstanceID, left time.Duration)
+	// ParseResponse reads the status and headers of a target's answer.
+	ParseResponse(status int, hdr http.Header) (std ResponseInfo)
 	// ReadyPath is the path of the check whether the VM serves, LookupPath that of look-ups.
 	ReadyPath() string
 	LookupPath() string
-	// Lookup reads a look-up.
-	Lookup(query url.Values) (lkp Lookup)
-	// LookupAnswer encodes the answer to a look-up, which a caller may keep for ttl.
-	LookupAnswer(addresses []string, ttl time.Duration) (body []byte, err error)
+	// ParseLookup reads a look-up.
+	ParseLookup(query url.Values) (lkp Lookup)
+	// EncodeLookupResponse encodes the answer to a look-up, which a caller may keep for ttl.
+	EncodeLookupResponse(addresses []string, ttl time.Duration) (body []byte, err error)
 }
--- a/registry.go
+++ b/registry.go
@@ -13,17 +13,17 @@
 	Table *RoutingTable
 	// Instance is an instance that registered or changed.
 	Instance *Instance
-	// InstanceGone is an instance whose registration ended, or whose entry no longer names a usable instance.
-	InstanceGone InstanceID
+	// InstanceRemoved is an instance whose registration ended, or whose entry no longer names a usable instance.
+	InstanceRemoved InstanceID
 	// Evacuated is a failure domain whose targets are to get no requests; Restored ends that.
 	Evacuated FailureDomain
 	Restored  FailureDomain
-	// VM is an entry VM that serves; VMGone is one that no longer does.
-	VM     *VM
-	VMGone VMID
-	// Crash is a crash of an instance; CrashGone is one that is forgotten.
-	Crash     *Crash
-	CrashGone *Crash
+	// VM is an entry VM that serves; VMRemoved is one that no longer does.
+	VM        *VM
+	VMRemoved VMID
+	// Crash is a crash of an instance; CrashRemoved is one that is forgotten.
+	Crash        *Crash
+	CrashRemoved *Crash
 	// Rejected is an entry that can't be understood.
 	Rejected *RejectedEntry
 }
--- a/request.go
+++ b/request.go
@@ -65,8 +65,8 @@
 	return req
 }
 
-// Answer is the answer of a target. The receiver must close Body.
-type Answer struct {
+// Response is the answer of a target. The receiver must close Body.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body yields the whole body and io.EOF, or an error if the answer is cut.
--- a/routing.go
+++ b/routing.go
@@ -32,22 +32,22 @@
 	Idempotent bool
 	// Timeout is the longest time for which a caller may be kept waiting.
 	Timeout time.Duration
-	// Objective is the time within which an answer has its full value.
-	Objective time.Duration
+	// LatencyObjective is the time within which an answer has its full value.
+	LatencyObjective time.Duration
 	// Priority is the rank of the route, 0 the highest.
 	Priority int
-	// Parts are the services that share the requests, at least one.
-	Parts []Part
+	// WeightedServices are the services that share the requests, at least one.
+	WeightedServices []WeightedService
 	// MaxTargets bounds the targets to which one request may be sent, at least 1.
 	MaxTargets int
 	// Sticky is set when a target that has handled an object serves it faster.
 	Sticky bool
-	// Homes are the only regions that may serve the route; empty for all.
-	Homes []Region
+	// HomeRegions are the only regions that may serve the route; empty for all.
+	HomeRegions []Region
 }
 
-// Part is one service of a route.
-type Part struct {
+// WeightedService is one service of a route.
+type WeightedService struct {
 	Service ServiceName
 	// Weight is its share of the requests relative to the other parts, more than 0.
 	Weight float64
@@ -84,12 +84,12 @@
 	return rte, rte != nil
 }
 
-// Home reports whether the route may be served in region reg.
-func (rte *Route) Home(reg Region) bool {
-	if len(rte.Homes) == 0 {
+// AllowsRegion reports whether the route may be served in region reg.
+func (rte *Route) AllowsRegion(reg Region) bool {
+	if len(rte.HomeRegions) == 0 {
 		return true
 	}
-	for _, hom := range rte.Homes {
+	for _, hom := range rte.HomeRegions {
 		if hom == reg {
 			return true
 		}
@@ -111,13 +111,13 @@
 	Leaving bool
 	// ColdFor is how long the instance said that it stays cold, at the time of the registration.
 	ColdFor time.Duration
-	// Born is the time of its start in milliseconds since the Unix epoch, 0 if it did not say.
-	Born int64
+	// StartMillis is the time of its start in milliseconds since the Unix epoch, 0 if it did not say.
+	StartMillis int64
 }
 
 // SameStart reports whether both describe the same start of the same target.
 func (ins Instance) SameStart(oth Instance) bool {
-	return ins.ID == oth.ID && ins.Born == oth.Born && ins.Address == oth.Address && ins.Service == oth.Service
+	return ins.ID == oth.ID && ins.StartMillis == oth.StartMillis && ins.Address == oth.Address && ins.Service == oth.Service
 }
 
 // Load is what an instance says of itself with an answer.
--- a/vm_test.go
+++ b/vm_test.go
@@ -44,8 +44,8 @@
 	}
 	for _, tst := range tests {
 		set := cardamompass.VMSettings{
-			Cores:    tst.cores,
-			LinkBits: tst.bits,
+			Cores:             tst.cores,
+			LinkBitsPerSecond: tst.bits,
 		}
 		if got := set.Capacity(); math.Abs(got-tst.want) > 1e-6 {
 			t.Errorf("%s: %v requests a second, want %v", tst.name, got, tst.want)
--- a/vmsettings.go
+++ b/vmsettings.go
@@ -25,14 +25,15 @@
 	MemoryBytes int64
 	// Cores is the part of a processor core that the VM has, above 1 for several cores; 0 if it is not known.
 	Cores float64
-	// LinkBits is the bandwidth of the VM's link in bits a second, in each direction; 0 if it is not known.
-	LinkBits float64
+	// LinkBitsPerSecond is the bandwidth of the VM's link in bits a second, in each direction; 0 if it is not known.
+	LinkBitsPerSecond float64
 	// GraceTime is the time between the request to stop and the kill.
 	GraceTime time.Duration
-	// RepeatPercent and RepeatSlack bound the repeats of all VMs in RepeatWindow: a percentage of the requests plus a number.
-	RepeatPercent int
-	RepeatSlack   int
-	RepeatWindow  time.Duration
+	// RetryBudgetPercent and RetryBudgetSlack bound the retries and hedges of all VMs in RetryBudgetWindow: a percentage of the requests
+	// plus a number.
+	RetryBudgetPercent int
+	RetryBudgetSlack   int
+	RetryBudgetWindow  time.Duration
 	// ColdOverage and ColdSlack bound the requests a second to a cold target: its rate times the overage plus the slack.
 	ColdOverage float64
 	ColdSlack   float64
@@ -43,16 +44,16 @@
 }
 
 const (
-	// requestCores is the processor time of a request in seconds, logs included, as BenchmarkRequest of front measures it.
-	requestCores = 0.0004
+	// requestCPUSeconds is the processor time of a request in seconds, logs included, as BenchmarkRequest of front measures it.
+	requestCPUSeconds = 0.0004
 	// requestBits is the size of a request with its answer in each direction of the link, the mean of the users' kinds of requests.
 	requestBits = 8 * 16 << 10
 )
 
 // Capacity returns the number of requests a second that the VM can carry; 0 if it is not known.
 func (set *VMSettings) Capacity() (perSecond float64) {
-	if set.Cores <= 0 || set.LinkBits <= 0 {
+	if set.Cores <= 0 || set.LinkBitsPerSecond <= 0 {
 		return 0
 	}
-	return min(set.Cores/requestCores, set.LinkBits/requestBits)
+	return min(set.Cores/requestCPUSeconds, set.LinkBitsPerSecond/requestBits)
 }
