--- a/cmd/cardamompass/serve.go
+++ b/cmd/cardamompass/serve.go
@@ -73,7 +73,7 @@
 		Store:    sto,
 		Clock:    cardamompass.SystemClock{},
 		Log:      log.Logger,
-		Boot:     bootID(),
+		BootID:   bootID(),
 
 		LinesDropped: log.Dropped,
 	}
--- a/cmd/entryvm/explain.go
+++ b/cmd/entryvm/explain.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	for _, lin := range sty.Context {
+	for _, lin := range sty.StateChanges {
 		printLine("before ", lin)
 	}
 	for _, lin := range sty.Lines {
--- a/internal/edge/dump/bench_test.go
+++ b/internal/edge/dump/bench_test.go
@@ -19,7 +19,7 @@
 			var size uint64
 			for b.Loop() {
 				before := heapBytes()
-				rct := dump.NewRecent(kept)
+				rct := dump.NewDecisionLog(kept)
 				for num := range kept {
 					dec := dump.Decision{
 						RequestID: cardamompass.RequestID(fmt.Sprintf("0f8fad5b-d9cb-469f-a165-%012x", num)),
@@ -28,7 +28,7 @@
 						Attempts:  []dump.Attempt{{Target: "site-core-001", Region: "gulf", Duration: fmt.Sprint(num)}},
 					}
 					for range rejected {
-						dec.Rejected = append(dec.Rejected, dump.Verdict{
+						dec.Rejected = append(dec.Rejected, dump.Rejection{
 							Name:   "site-core-001",
 							Reason: "target-full",
 						})
--- a/internal/edge/dump/recent.go
+++ b/internal/edge/dump/recent.go
@@ -20,8 +20,8 @@
 	Duration string `json:"duration"`
 }
 
-// Verdict says what became of a region or target in the last decision of a request that found no room.
-type Verdict struct {
+// Rejection says what became of a region or target in the last decision of a request that found no room.
+type Rejection struct {
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
 }
@@ -34,28 +34,28 @@
 	At           time.Time                `json:"at"`
 	Duration     string                   `json:"duration"`
 	Attempts     []Attempt                `json:"attempts,omitempty"`
-	Rejected     []Verdict                `json:"rejected,omitempty"`
+	Rejected     []Rejection              `json:"rejected,omitempty"`
 	Outcome      cardamompass.Outcome     `json:"outcome"`
 	Reason       string                   `json:"reason,omitempty"`
 }
 
-// Recent holds the last decisions. It is safe for concurrent use.
-type Recent struct {
+// DecisionLog holds the last decisions. It is safe for concurrent use.
+type DecisionLog struct {
 	mtx  sync.Mutex
 	ring []Decision
 	next int
 	full bool
 }
 
-// NewRecent returns a Recent for count decisions, at least one.
-func NewRecent(count int) *Recent {
-	return &Recent{
+// NewDecisionLog returns a Recent for count decisions, at least one.
+func NewDecisionLog(count int) *DecisionLog {
+	return &DecisionLog{
 		ring: make([]Decision, max(1, count)),
 	}
 }
 
 // Add keeps a decision in place of the oldest one.
-func (rct *Recent) Add(dec Decision) {
+func (rct *DecisionLog) Add(dec Decision) {
 	rct.mtx.Lock()
 	defer rct.mtx.Unlock()
 	rct.ring[rct.next] = dec
@@ -66,7 +66,7 @@
 }
 
 // Find returns the decisions for a request id, or all of them for an empty one, the latest first.
-func (rct *Recent) Find(rid cardamompass.RequestID) (found []Decision) {
+func (rct *DecisionLog) Find(rid cardamompass.RequestID) (found []Decision) {
 	rct.mtx.Lock()
 	defer rct.mtx.Unlock()
 	count := rct.next
--- a/internal/edge/engine/engine.go
+++ b/internal/edge/engine/engine.go
@@ -56,7 +56,7 @@
 	// grants every target.
 	Reserve func(ctx context.Context, tid cardamompass.TargetID, left time.Duration) (release func(), ok bool)
 	// Recent keeps the decisions for the state dump.
-	Recent *dump.Recent
+	Recent *dump.DecisionLog
 	// HedgePercent and RetryPercent are the budgets in percent of requests.
 	HedgePercent int
 	RetryPercent int
--- a/internal/edge/engine/engine_test.go
+++ b/internal/edge/engine/engine_test.go
@@ -37,14 +37,14 @@
 type bed struct {
 	eng     *engine.Engine
 	targets []*target.Target
-	recent  *dump.Recent
+	recent  *dump.DecisionLog
 	class   cardamompass.Class
 }
 
 func newBed(t *testing.T, class cardamompass.Class, slots ...int) *bed {
 	t.Helper()
 	bed := &bed{
-		recent: dump.NewRecent(16),
+		recent: dump.NewDecisionLog(16),
 		class:  class,
 	}
 	doc := catlg.Empty()
@@ -94,7 +94,7 @@
 	return bed
 }
 
-func newEngine(t *testing.T, recent *dump.Recent) *engine.Engine {
+func newEngine(t *testing.T, recent *dump.DecisionLog) *engine.Engine {
 	t.Helper()
 	self := cardamompass.VM{
 		ID:          "vm-1",
--- a/internal/edge/engine/execute.go
+++ b/internal/edge/engine/execute.go
@@ -269,13 +269,13 @@
 	if err != nil {
 		rec.Reason = err.Error()
 		for _, vdt := range rqt.rejected.Regions {
-			rec.Rejected = append(rec.Rejected, dump.Verdict{
+			rec.Rejected = append(rec.Rejected, dump.Rejection{
 				Name:   string(vdt.Region),
 				Reason: vdt.Reason.String(),
 			})
 		}
 		for _, rej := range rqt.rejected.Rejections[:min(len(rqt.rejected.Rejections), maxRejections)] {
-			rec.Rejected = append(rec.Rejected, dump.Verdict{
+			rec.Rejected = append(rec.Rejected, dump.Rejection{
 				Name:   string(rej.Target),
 				Reason: rej.Reason.String(),
 			})
--- a/internal/edge/entry/caller.go
+++ b/internal/edge/entry/caller.go
@@ -89,7 +89,7 @@
 // handleLookup answers which entry VMs to use.
 func (prc *Process) handleLookup(rsw http.ResponseWriter, rqs *http.Request) {
 	query := rqs.URL.Query()
-	qst := lookup.Question{
+	qst := lookup.Query{
 		Service: cardamompass.ServiceName(query.Get("service")),
 		Region:  cardamompass.Region(query.Get("region")),
 		Client:  clientAddress(rqs),
@@ -105,7 +105,7 @@
 		}
 		qst.Client = addr
 	}
-	data, err := prc.lookups.Answer(qst)
+	data, err := prc.lookups.Resolve(qst)
 	if err != nil {
 		prc.refuse(rsw, "", err)
 		return
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -53,8 +53,8 @@
 	VMs   cardamompass.VMLister
 	Clock cardamompass.Clock
 	Log   *zap.Logger
-	// Boot identifies the run of the VM's operating system; empty if that is not known.
-	Boot string
+	// BootID identifies the run of the VM's operating system; empty if that is not known.
+	BootID string
 	// LinesDropped returns the number of log lines that the limit left out; nil if there is none.
 	LinesDropped func() int64
 	// Naive replaces the steering by its baseline, for measurements.
@@ -78,8 +78,8 @@
 	engine   *engine.Engine
 	opers    *oper.Service
 	table    *oper.Table
-	lookups  *lookup.Answerer
-	recent   *dump.Recent
+	lookups  *lookup.Resolver
+	recent   *dump.DecisionLog
 	callers  *http.Server
 	callerAt net.Listener
 	operAt   net.Listener
@@ -100,7 +100,7 @@
 	prc = &Process{
 		cfg:     cfg,
 		started: cfg.Clock.Now(),
-		recent:  dump.NewRecent(recentDecisions),
+		recent:  dump.NewDecisionLog(recentDecisions),
 		listed:  make(map[string]bool),
 		done:    make(chan struct{}),
 		ready:   make(chan struct{}),
@@ -253,7 +253,7 @@
 		Owner: share.Owner{
 			VM:          prc.vm.ID,
 			Incarnation: prc.vm.Incarnation,
-			Boot:        prc.cfg.Boot,
+			Boot:        prc.cfg.BootID,
 		},
 		Store:     prc.cfg.Store,
 		Peers:     prc.client,
@@ -347,10 +347,10 @@
 	prc.opers = svc
 	prc.onCleanup(stop)
 	prc.lookups = lookup.New(lookup.Config{
-		Clock:  prc.cfg.Clock,
-		MaxAge: prc.cfg.Settings.LookupMaxAge,
-		Ticket: func(vmr cardamompass.VM, now time.Time) string { return oper.Issue(vmr, now).String() },
-		Home:   prc.vm.Region,
+		Clock:         prc.cfg.Clock,
+		MaxAge:        prc.cfg.Settings.LookupMaxAge,
+		IssueTicket:   func(vmr cardamompass.VM, now time.Time) string { return oper.Issue(vmr, now).String() },
+		DefaultRegion: prc.vm.Region,
 	})
 	return nil
 }
@@ -361,7 +361,7 @@
 		spread.ServiceName: prc.spread.Service(),
 		share.ServiceName:  prc.pool.Service(),
 		"Oper":             prc.opers,
-		signsService:       &Signs{prc: prc},
+		targetServiceName:  &TargetService{prc: prc},
 	} {
 		if err := prc.server.Register(name, receiver); err != nil {
 			return err
--- a/internal/edge/entry/follow.go
+++ b/internal/edge/entry/follow.go
@@ -78,7 +78,7 @@
 			prc.putInForce()
 		case <-members:
 			for _, mbr := range prc.members.Members() {
-				prc.opers.Observe(mbr)
+				prc.opers.RecordDeparture(mbr)
 			}
 			prc.refreshLookups()
 			prc.engine.MembersChanged()
--- a/internal/edge/entry/operator.go
+++ b/internal/edge/entry/operator.go
@@ -90,7 +90,7 @@
 	rtr.HandleFunc("/v1/decisions", func(rsw http.ResponseWriter, rqs *http.Request) {
 		writeJSON(rsw, prc.Decisions(cardamompass.RequestID(rqs.URL.Query().Get("request-id"))))
 	}).Methods(http.MethodGet)
-	rtr.Handle("/metrics", prc.metrics.Page()).Methods(http.MethodGet)
+	rtr.Handle("/metrics", prc.metrics.Handler()).Methods(http.MethodGet)
 	return rtr
 }
 
--- a/internal/edge/entry/signs.go
+++ b/internal/edge/entry/signs.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// signsService is the name under which Signs is registered at the peer server.
-	signsService = "Signs"
+	// targetServiceName is the name under which Signs is registered at the peer server.
+	targetServiceName = "Signs"
 	// signTimeout bounds one message about a leaving target.
 	signTimeout = time.Second
 	// signPeers bounds the VMs that one VM tells about a leaving target. In a larger fleet the own probes of the other VMs
@@ -33,23 +33,23 @@
 	Report guard.Report
 }
 
-// SignsReply is empty.
-type SignsReply struct{}
+// EmptyReply is empty.
+type EmptyReply struct{}
 
-// Signs answers the messages of other entry VMs about targets. Its methods have the form that net/rpc wants.
-type Signs struct {
+// TargetService answers the messages of other entry VMs about targets. Its methods have the form that net/rpc wants.
+type TargetService struct {
 	prc *Process
 }
 
 // Leaving records the report of a peer that a target leaves.
-func (sgn *Signs) Leaving(args *LeavingArgs, _ *SignsReply) (err error) {
+func (sgn *TargetService) Leaving(args *LeavingArgs, _ *EmptyReply) (err error) {
 	sgn.prc.tracker.Mark(args.Target, health.SignPeer, sgn.prc.cfg.Clock.Now())
 	return nil
 }
 
 // Suspects merges the report of a peer about content that crashes its targets, and avoids the targets that crashed: without
 // that, each VM would find out by failed attempts, which use up the retries.
-func (sgn *Signs) Suspects(args *SuspectsArgs, _ *SignsReply) (err error) {
+func (sgn *TargetService) Suspects(args *SuspectsArgs, _ *EmptyReply) (err error) {
 	now := sgn.prc.cfg.Clock.Now()
 	sgn.prc.guard.Merge(args.Report, now)
 	for _, sus := range args.Report.Suspicions {
@@ -80,7 +80,7 @@
 		prc.wtg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), signTimeout)
 			defer cancel()
-			if err := prc.client.Call(ctx, peer.PeerAddress, signsService+".Leaving", args, &SignsReply{}); err != nil {
+			if err := prc.client.Call(ctx, peer.PeerAddress, targetServiceName+".Leaving", args, &EmptyReply{}); err != nil {
 				prc.cfg.Log.Debug("peer not told of leaving target", zap.String("peer", string(peer.ID)), zap.Error(err))
 			}
 		})
@@ -99,7 +99,7 @@
 	var wtg sync.WaitGroup
 	for _, peer := range prc.others() {
 		wtg.Go(func() {
-			if err := prc.client.Call(ctx, peer.PeerAddress, signsService+".Suspects", args, &SignsReply{}); err != nil {
+			if err := prc.client.Call(ctx, peer.PeerAddress, targetServiceName+".Suspects", args, &EmptyReply{}); err != nil {
 				prc.cfg.Log.Warn("peer not told of suspect content", zap.String("peer", string(peer.ID)), zap.Error(err))
 			}
 		})
--- a/internal/edge/entry/stop.go
+++ b/internal/edge/entry/stop.go
@@ -30,7 +30,7 @@
 	_ = cardamompass.Sleep(ctx, prc.cfg.Clock, prc.cfg.Settings.LookupMaxAge+announceTime) // a stop that must hurry goes on
 	successor, ok := prc.successor()
 	if ok {
-		if herr := prc.opers.HandOver(ctx, successor, operationDrain); herr != nil {
+		if herr := prc.opers.TransferRecords(ctx, successor, operationDrain); herr != nil {
 			prc.cfg.Log.Warn("operation records not handed over", zap.String("successor", string(successor.ID)), zap.Error(herr))
 		}
 	}
--- a/internal/edge/entry/suspect.go
+++ b/internal/edge/entry/suspect.go
@@ -30,13 +30,13 @@
 }
 
 // Reserve reserves a target for the suspects of a peer.
-func (sgn *Signs) Reserve(args *ReserveArgs, reply *ReserveReply) (err error) {
+func (sgn *TargetService) Reserve(args *ReserveArgs, reply *ReserveReply) (err error) {
 	reply.Granted = sgn.prc.arbiter.Reserve(args.Target, args.VM, args.Left, sgn.prc.cfg.Clock.Now())
 	return nil
 }
 
 // Release ends the reservation of a peer.
-func (sgn *Signs) Release(args *ReleaseArgs, _ *SignsReply) (err error) {
+func (sgn *TargetService) Release(args *ReleaseArgs, _ *EmptyReply) (err error) {
 	sgn.prc.arbiter.Release(args.Target, args.VM)
 	return nil
 }
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, signTimeout)
 	defer cancel()
 	var reply ReserveReply
-	err := prc.client.Call(ctx, arb.PeerAddress, signsService+".Reserve", &ReserveArgs{
+	err := prc.client.Call(ctx, arb.PeerAddress, targetServiceName+".Reserve", &ReserveArgs{
 		Target: tid,
 		VM:     prc.vm.ID,
 		Left:   left,
@@ -80,10 +80,10 @@
 	prc.wtg.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), signTimeout)
 		defer cancel()
-		err := prc.client.Call(ctx, arb.PeerAddress, signsService+".Release", &ReleaseArgs{
+		err := prc.client.Call(ctx, arb.PeerAddress, targetServiceName+".Release", &ReleaseArgs{
 			Target: tid,
 			VM:     prc.vm.ID,
-		}, &SignsReply{})
+		}, &EmptyReply{})
 		if err != nil {
 			prc.cfg.Log.Debug("reservation not released", zap.String("target", string(tid)), zap.String("peer", string(arb.ID)), zap.Error(err))
 		}
--- a/internal/edge/lookup/bench_test.go
+++ b/internal/edge/lookup/bench_test.go
@@ -94,18 +94,18 @@
 // BenchmarkAnswer measures one look-up without its HTTP exchange.
 func BenchmarkAnswer(b *testing.B) {
 	ans := lookup.New(lookup.Config{
-		Clock:  cardamompass.SystemClock{},
-		MaxAge: 5 * time.Second,
-		Ticket: func(vm cardamompass.VM, _ time.Time) string { return string(vm.ID) },
-		Home:   "gulf",
+		Clock:         cardamompass.SystemClock{},
+		MaxAge:        5 * time.Second,
+		IssueTicket:   func(vm cardamompass.VM, _ time.Time) string { return string(vm.ID) },
+		DefaultRegion: "gulf",
 	})
 	ans.SetView(sevenVMs())
-	qst := lookup.Question{
+	qst := lookup.Query{
 		Service: "kiosk-core",
 		Client:  netip.MustParseAddr("10.1.2.3"),
 	}
 	for b.Loop() {
-		if _, err := ans.Answer(qst); err != nil {
+		if _, err := ans.Resolve(qst); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -153,14 +153,14 @@
 			ans := lookup.New(lookup.Config{
 				Clock:  &secondClock{},
 				MaxAge: 5 * time.Second,
-				Ticket: func(vm cardamompass.VM, _ time.Time) string {
+				IssueTicket: func(vm cardamompass.VM, _ time.Time) string {
 					return string(vm.ID) + "/1790000000000000000/1790000000000"
 				},
 			})
 			ans.SetView(fleetView(size.vms, size.regions))
 			var bytes int
 			for b.Loop() {
-				data, err := ans.Answer(lookup.Question{
+				data, err := ans.Resolve(lookup.Query{
 					Service: "kiosk-core",
 					Region:  "region-01",
 				})
--- a/internal/edge/lookup/lookup.go
+++ b/internal/edge/lookup/lookup.go
@@ -61,20 +61,20 @@
 	CatalogueVersion int64
 }
 
-// Config configures an Answerer.
+// Config configures a Resolver.
 type Config struct {
 	// Clock tells the time.
 	Clock cardamompass.Clock
 	// MaxAge is the time for which callers may use an answer.
 	MaxAge time.Duration
-	// Ticket makes the ticket for operations whose home is the given VM.
-	Ticket func(vm cardamompass.VM, now time.Time) string
-	// Home is the region of callers that no block covers and that name no region.
-	Home cardamompass.Region
+	// IssueTicket makes the ticket for operations whose home is the given VM.
+	IssueTicket func(vm cardamompass.VM, now time.Time) string
+	// DefaultRegion is the region of callers that no block covers and that name no region.
+	DefaultRegion cardamompass.Region
 }
 
-// Answerer answers look-ups. It is safe for concurrent use.
-type Answerer struct {
+// Resolver answers look-ups. It is safe for concurrent use.
+type Resolver struct {
 	cfg  Config
 	view atomic.Pointer[state]
 }
@@ -95,9 +95,9 @@
 	data []byte
 }
 
-// New returns an Answerer with an empty view.
-func New(cfg Config) *Answerer {
-	ans := &Answerer{
+// New returns a Resolver with an empty view.
+func New(cfg Config) *Resolver {
+	ans := &Resolver{
 		cfg: cfg,
 	}
 	ans.SetView(View{})
@@ -105,14 +105,14 @@
 }
 
 // SetView replaces the view. Later answers are made from it.
-func (ans *Answerer) SetView(view View) {
+func (ans *Resolver) SetView(view View) {
 	ans.view.Store(&state{
 		view: view,
 	})
 }
 
-// Question is one look-up.
-type Question struct {
+// Query is one look-up.
+type Query struct {
 	Service cardamompass.ServiceName
 	// Client is the caller's address; the zero value means that it is not known.
 	Client netip.Addr
@@ -120,9 +120,9 @@
 	Region cardamompass.Region
 }
 
-// Answer returns the JSON form of the Response to qst. The caller must not modify it.
+// Resolve returns the JSON form of the Response to qst. The caller must not modify it.
 // Errors: InvalidError for an unknown service or region, NotRunError while no catalogue or no entry VM is known.
-func (ans *Answerer) Answer(qst Question) (data []byte, err error) {
+func (ans *Resolver) Resolve(qst Query) (data []byte, err error) {
 	sta := ans.view.Load()
 	if len(sta.view.Services) == 0 {
 		return nil, &cardamompass.NotRunError{
@@ -161,14 +161,14 @@
 }
 
 // CallerRegion returns the region of a caller by its own word, else by its address, else the configured one.
-func (ans *Answerer) CallerRegion(said cardamompass.Region, client netip.Addr) (reg cardamompass.Region, err error) {
-	return ans.region(ans.view.Load().view, Question{
+func (ans *Resolver) CallerRegion(said cardamompass.Region, client netip.Addr) (reg cardamompass.Region, err error) {
+	return ans.region(ans.view.Load().view, Query{
 		Client: client,
 		Region: said,
 	})
 }
 
-func (ans *Answerer) region(view View, qst Question) (reg cardamompass.Region, err error) {
+func (ans *Resolver) region(view View, qst Query) (reg cardamompass.Region, err error) {
 	if qst.Region != "" {
 		if _, ok := view.Regions[qst.Region]; !ok {
 			return "", &cardamompass.InvalidError{
@@ -183,7 +183,7 @@
 			return reg, nil
 		}
 	}
-	return ans.cfg.Home, nil
+	return ans.cfg.DefaultRegion, nil
 }
 
 func rotation(client netip.Addr) int {
@@ -194,7 +194,7 @@
 	return int(xxhash.Sum64(oct[:]) % rotations)
 }
 
-func (ans *Answerer) build(view View, key bodyKey, now time.Time) (data []byte, err error) {
+func (ans *Resolver) build(view View, key bodyKey, now time.Time) (data []byte, err error) {
 	defer func() { err = errors.Wrap(err, "answer look-up") }()
 	list := Order(view, key.region, key.rotation)
 	if len(list) == 0 {
@@ -204,7 +204,7 @@
 	}
 	rsp := Response{
 		MaxAgeMillis:     ans.cfg.MaxAge.Milliseconds(),
-		Ticket:           ans.cfg.Ticket(list[0], now),
+		Ticket:           ans.cfg.IssueTicket(list[0], now),
 		CallerRegion:     key.region,
 		CatalogueVersion: view.CatalogueVersion,
 	}
--- a/internal/edge/lookup/lookup_test.go
+++ b/internal/edge/lookup/lookup_test.go
@@ -157,21 +157,21 @@
 // Guards against a guess in place of a refusal, and against a stale answer after a change of the view.
 func TestAnswer(t *testing.T) {
 	ans := lookup.New(lookup.Config{
-		Clock:  cardamompass.SystemClock{},
-		MaxAge: 5 * time.Second,
-		Ticket: func(vm cardamompass.VM, _ time.Time) string { return string(vm.ID) + "/1/1" },
-		Home:   "gulf",
+		Clock:         cardamompass.SystemClock{},
+		MaxAge:        5 * time.Second,
+		IssueTicket:   func(vm cardamompass.VM, _ time.Time) string { return string(vm.ID) + "/1/1" },
+		DefaultRegion: "gulf",
 	})
-	qst := lookup.Question{
+	qst := lookup.Query{
 		Service: "kiosk-core",
 		Region:  "delta",
 	}
 	var nrn *cardamompass.NotRunError
-	if _, err := ans.Answer(qst); !errors.As(err, &nrn) {
+	if _, err := ans.Resolve(qst); !errors.As(err, &nrn) {
 		t.Fatalf("without a catalogue: got %v, want a NotRunError", err)
 	}
 	ans.SetView(sevenVMs())
-	data, err := ans.Answer(qst)
+	data, err := ans.Resolve(qst)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,15 +183,15 @@
 		t.Errorf("answer %+v", rsp)
 	}
 	var inv *cardamompass.InvalidError
-	for _, bad := range []lookup.Question{{Service: "nowhere"}, {Service: "kiosk-core", Region: "nowhere"}} {
-		if _, err := ans.Answer(bad); !errors.As(err, &inv) {
+	for _, bad := range []lookup.Query{{Service: "nowhere"}, {Service: "kiosk-core", Region: "nowhere"}} {
+		if _, err := ans.Resolve(bad); !errors.As(err, &inv) {
 			t.Errorf("%+v: got %v, want an InvalidError", bad, err)
 		}
 	}
 	view := sevenVMs()
 	view.Members = view.Members[:1]
 	ans.SetView(view)
-	data, err = ans.Answer(qst)
+	data, err = ans.Resolve(qst)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -238,7 +238,7 @@
 	lookupRoutes.Handle(nod.cfg.Protocol.LookupPath(), lookups).Methods(http.MethodGet)
 	readyRoutes.HandleFunc(nod.cfg.Protocol.ReadyPath(), nod.ready).Methods(http.MethodGet)
 	metricRoutes.HandleFunc("/state", nod.dump).Methods(http.MethodGet)
-	metricRoutes.Handle("/metrics", nod.cfg.Metrics.Page()).Methods(http.MethodGet)
+	metricRoutes.Handle("/metrics", nod.cfg.Metrics.Handler()).Methods(http.MethodGet)
 	for _, lst := range []struct {
 		address string
 		handler http.Handler
--- a/internal/edge/oper/handover.go
+++ b/internal/edge/oper/handover.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// MaxPartBytes bounds one message of a handover.
-	MaxPartBytes = 256 << 10
+	// MaxChunkBytes bounds one message of a handover.
+	MaxChunkBytes = 256 << 10
 
 	// partBytes is the estimated size at which a part is closed; the difference covers the codec's framing.
-	partBytes = MaxPartBytes - 16<<10
+	partBytes = MaxChunkBytes - 16<<10
 	// entryBytes and valueBytes estimate the framing of one record and of one header value.
 	entryBytes = 256
 	valueBytes = 16
 )
 
-// Part is one message of a handover. It holds some of the records of one incarnation.
-type Part struct {
+// Chunk is one message of a handover. It holds some of the records of one incarnation.
+type Chunk struct {
 	Home        cardamompass.VMID
 	Incarnation cardamompass.Incarnation
 	// Export tells the parts of one export from those of another.
@@ -40,7 +40,7 @@
 	Outcome   Outcome
 }
 
-func (prt Part) run() runID {
+func (prt Chunk) run() runID {
 	return runID{
 		home:        prt.Home,
 		incarnation: prt.Incarnation,
@@ -49,7 +49,7 @@
 
 // export returns all records for a successor. Operations that still run are handed over as unknown. Records of
 // operations that did not run are left out: the successor answers not-run for what it does not hold.
-func (mch *machine) export(now time.Duration) (prs []Part) {
+func (mch *machine) export(now time.Duration) (prs []Chunk) {
 	mch.expire(now)
 	byRun := map[runID][]Entry{}
 	for opn, rec := range mch.records {
@@ -66,14 +66,14 @@
 			Outcome:   oct,
 		})
 	}
-	prs = cut(byRun[mch.self], Part{
+	prs = cut(byRun[mch.self], Chunk{
 		Home:        mch.self.home,
 		Incarnation: mch.self.incarnation,
 		Export:      int64(now),
 		HomeMs:      mch.homeTime(now),
 	})
 	for run, fgn := range mch.imported {
-		prs = append(prs, cut(byRun[run], Part{
+		prs = append(prs, cut(byRun[run], Chunk{
 			Home:        run.home,
 			Incarnation: run.incarnation,
 			Export:      int64(now),
@@ -85,7 +85,7 @@
 }
 
 // cut distributes entries over as many copies of the empty part as needed, one at least.
-func cut(entries []Entry, empty Part) (prs []Part) {
+func cut(entries []Entry, empty Chunk) (prs []Chunk) {
 	prt, size := empty, 0
 	for _, ent := range entries {
 		bytes := ent.size()
@@ -118,7 +118,7 @@
 }
 
 // take imports one part. It may be repeated. reason is set when the part is refused.
-func (mch *machine) take(now time.Duration, prt Part) (reason string) {
+func (mch *machine) take(now time.Duration, prt Chunk) (reason string) {
 	mch.expire(now)
 	run := prt.run()
 	added := 0
@@ -162,7 +162,7 @@
 }
 
 // count notes that a part arrived. The home's time never goes back, so that no expired ticket becomes valid again.
-func (mch *machine) count(now time.Duration, run runID, prt Part) {
+func (mch *machine) count(now time.Duration, run runID, prt Chunk) {
 	fgn := mch.imported[run]
 	if fgn == nil {
 		fgn = &foreign{
--- a/internal/edge/oper/machine.go
+++ b/internal/edge/oper/machine.go
@@ -9,9 +9,9 @@
 	Retention = 10 * time.Minute
 	// DefaultMaxRecords bounds the records of one VM.
 	DefaultMaxRecords = 200_000
-	// DefaultMaxAnswerBytes bounds the answers of all records of one VM together. A process may use 128 MB, and
+	// DefaultMaxResponseBytes bounds the answers of all records of one VM together. A process may use 128 MB, and
 	// 200,000 records without answers take 68 MB of heap.
-	DefaultMaxAnswerBytes = 16 << 20
+	DefaultMaxResponseBytes = 16 << 20
 )
 
 // limits bound the memory of a machine.
@@ -192,7 +192,7 @@
 // settle stores a final outcome and keeps the answers within their bound.
 func (mch *machine) settle(now time.Duration, rec *record, oct Outcome) {
 	size := oct.size()
-	if oct.State == StateAnswered && size > min(MaxKeptBytes, mch.limits.answerBytes) {
+	if oct.State == StateAnswered && size > min(MaxRecordResponseBytes, mch.limits.answerBytes) {
 		oct = oct.withoutAnswer()
 	}
 	rec.outcome = oct
--- a/internal/edge/oper/outcome.go
+++ b/internal/edge/oper/outcome.go
@@ -9,8 +9,8 @@
 	"cardamompass"
 )
 
-// MaxKeptBytes bounds the answer that a record keeps, body and header together.
-const MaxKeptBytes = 64 << 10
+// MaxRecordResponseBytes bounds the answer that a record keeps, body and header together.
+const MaxRecordResponseBytes = 64 << 10
 
 // State is what became of an operation.
 type State int
--- a/internal/edge/oper/peer.go
+++ b/internal/edge/oper/peer.go
@@ -117,10 +117,10 @@
 	successor cardamompass.VMID
 }
 
-// Observe remembers the successor of a member that left. The membership forgets it when the VM is started again, while
+// RecordDeparture remembers the successor of a member that left. The membership forgets it when the VM is started again, while
 // tickets of the earlier incarnation are still in use. The owner of the service calls it for each change of the
 // membership.
-func (svc *Service) Observe(mbr cardamompass.Member) {
+func (svc *Service) RecordDeparture(mbr cardamompass.Member) {
 	if mbr.State != cardamompass.StateLeft || mbr.Successor == "" {
 		return
 	}
@@ -168,7 +168,7 @@
 		return nil
 	}
 	rpl.Operation = opn
-	if !svc.cfg.Table.Holds(opn.Ticket) {
+	if !svc.cfg.Table.Authoritative(opn.Ticket) {
 		rpl.Outcome = unknown("this VM holds no records of the ticket's home")
 		return nil
 	}
@@ -185,7 +185,7 @@
 // Status returns what became of an operation, from this VM's records or from the operation's home. An operation whose
 // home can't be asked is unknown.
 func (svc *Service) Status(ctx context.Context, opn Operation) (oct Outcome) {
-	if svc.cfg.Table.Holds(opn.Ticket) {
+	if svc.cfg.Table.Authoritative(opn.Ticket) {
 		return svc.cfg.Table.Status(opn)
 	}
 	address, reason := svc.locate(opn.Ticket.run())
@@ -214,16 +214,16 @@
 }
 
 // Handover takes over one part of the records of a VM that leaves. It is a method for net/rpc.
-func (svc *Service) Handover(prt *Part, rpl *HandoverReply) (err error) {
+func (svc *Service) Handover(prt *Chunk, rpl *HandoverReply) (err error) {
 	if err := svc.cfg.Table.Import(*prt); err != nil {
 		rpl.Refused = err.Error()
 	}
 	return nil
 }
 
-// HandOver closes this VM for new operations for good, waits up to drain for those that run, and sends its records to
+// TransferRecords closes this VM for new operations for good, waits up to drain for those that run, and sends its records to
 // successor. Each part is sent up to three times. On error the successor answers unknown for what it does not hold.
-func (svc *Service) HandOver(ctx context.Context, successor cardamompass.VM, drain time.Duration) (err error) {
+func (svc *Service) TransferRecords(ctx context.Context, successor cardamompass.VM, drain time.Duration) (err error) {
 	defer func() { err = errors.Wrapf(err, "handing operations over to %s", successor.ID) }()
 	dctx, cancel := context.WithTimeout(ctx, drain)
 	prs := svc.cfg.Table.Export(dctx)
@@ -237,7 +237,7 @@
 }
 
 // deliver sends one part until it is taken.
-func (svc *Service) deliver(ctx context.Context, address string, prt Part) (err error) {
+func (svc *Service) deliver(ctx context.Context, address string, prt Chunk) (err error) {
 	const tries = 3
 	for range tries {
 		var rpl HandoverReply
--- a/internal/edge/oper/prop_test.go
+++ b/internal/edge/oper/prop_test.go
@@ -69,12 +69,12 @@
 	successor := wld.nodes[next].vm
 	wld.members[idx].State = cardamompass.StateLeaving
 	wld.mu.Unlock()
-	nod.svc.HandOver(ctx, successor, time.Second)
+	nod.svc.TransferRecords(ctx, successor, time.Second)
 	wld.mu.Lock()
 	wld.members[idx].State = cardamompass.StateLeft
 	wld.members[idx].Successor = successor.ID
 	for _, other := range wld.nodes {
-		other.svc.Observe(wld.members[idx])
+		other.svc.RecordDeparture(wld.members[idx])
 	}
 	wld.mu.Unlock()
 	time.Sleep(time.Duration(wld.number("left", 10_000)) * time.Millisecond)
--- a/internal/edge/oper/service.go
+++ b/internal/edge/oper/service.go
@@ -110,7 +110,7 @@
 	ctx, cancel := svc.bounded(ctx, req.Deadline)
 	defer cancel()
 	var oct Outcome
-	if svc.cfg.Table.Holds(opn.Ticket) {
+	if svc.cfg.Table.Authoritative(opn.Ticket) {
 		oct, err = svc.local(ctx, opn, req, execute)
 	} else {
 		oct = svc.remote(ctx, opn, req)
--- a/internal/edge/oper/sim_test.go
+++ b/internal/edge/oper/sim_test.go
@@ -186,7 +186,7 @@
 
 // dispatch calls the method that args belong to. deliver copies its reply.
 func dispatch(svc *oper.Service, args, reply any) (deliver func(), err error) {
-	if prt, ok := args.(*oper.Part); ok {
+	if prt, ok := args.(*oper.Chunk); ok {
 		rpl := new(oper.HandoverReply)
 		err = svc.Handover(prt, rpl)
 		return func() { *reply.(*oper.HandoverReply) = *rpl }, err
--- a/internal/edge/oper/table.go
+++ b/internal/edge/oper/table.go
@@ -16,9 +16,9 @@
 	Clock cardamompass.Clock
 	// MaxRecords bounds the records, 200,000 by default.
 	MaxRecords int
-	// MaxAnswerBytes bounds the answers that all records keep together, 16 MiB by default. Beyond it the oldest
+	// MaxResponseBytes bounds the answers that all records keep together, 16 MiB by default. Beyond it the oldest
 	// answers are dropped; their operations end as ran.
-	MaxAnswerBytes int
+	MaxResponseBytes int
 }
 
 // Table holds the records of one VM. It is safe for concurrent use.
@@ -43,13 +43,13 @@
 	}
 	lim := limits{
 		records:     cfg.MaxRecords,
-		answerBytes: cfg.MaxAnswerBytes,
+		answerBytes: cfg.MaxResponseBytes,
 	}
 	if lim.records <= 0 {
 		lim.records = DefaultMaxRecords
 	}
 	if lim.answerBytes <= 0 {
-		lim.answerBytes = DefaultMaxAnswerBytes
+		lim.answerBytes = DefaultMaxResponseBytes
 	}
 	self := runID{
 		home:        cfg.Self.ID,
@@ -160,8 +160,8 @@
 	return tab.mch.status(tab.now(), opn)
 }
 
-// Holds reports whether this table answers for the ticket's incarnation: its own, or one that was imported.
-func (tab *Table) Holds(tkt Ticket) bool {
+// Authoritative reports whether this table answers for the ticket's incarnation: its own, or one that was imported.
+func (tab *Table) Authoritative(tkt Ticket) bool {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	return tkt.run() == tab.self || tab.mch.imported[tkt.run()] != nil
@@ -173,13 +173,13 @@
 	Records int `json:"records"`
 	// Running is the number of operations that run.
 	Running int `json:"running"`
-	// AnswerBytes is the size of the answers that are held.
-	AnswerBytes int `json:"answer-bytes"`
+	// ResponseBytes is the size of the answers that are held.
+	ResponseBytes int `json:"answer-bytes"`
 	// Closed is set once the table accepts no new operations.
 	Closed bool `json:"closed"`
-	// Whole and Partial count the other incarnations whose records were imported whole or in part.
-	Whole   int `json:"imported-whole"`
-	Partial int `json:"imported-in-part"`
+	// Complete and Partial count the other incarnations whose records were imported whole or in part.
+	Complete int `json:"imported-whole"`
+	Partial  int `json:"imported-in-part"`
 }
 
 // Stats returns the current figures.
@@ -187,14 +187,14 @@
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	sts = Stats{
-		Records:     len(tab.mch.records),
-		Running:     tab.mch.running,
-		AnswerBytes: tab.mch.bytes,
-		Closed:      tab.mch.closed,
+		Records:       len(tab.mch.records),
+		Running:       tab.mch.running,
+		ResponseBytes: tab.mch.bytes,
+		Closed:        tab.mch.closed,
 	}
 	for _, fgn := range tab.mch.imported {
 		if fgn.whole {
-			sts.Whole++
+			sts.Complete++
 		} else {
 			sts.Partial++
 		}
@@ -204,7 +204,7 @@
 
 // Export closes the table for new operations for good, waits until nothing runs or ctx ends, and returns the records.
 // What still runs then is handed over as unknown.
-func (tab *Table) Export(ctx context.Context) (prs []Part) {
+func (tab *Table) Export(ctx context.Context) (prs []Chunk) {
 	tab.mu.Lock()
 	tab.mch.close()
 	tab.checkQuiet()
@@ -220,7 +220,7 @@
 
 // Import takes over one part of the records of an incarnation that left. It may be repeated. A part that can't be
 // taken is an InvalidError; this table then answers unknown for what it does not hold of that incarnation.
-func (tab *Table) Import(prt Part) (err error) {
+func (tab *Table) Import(prt Chunk) (err error) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	if reason := tab.mch.take(tab.now(), prt); reason != "" {
--- a/internal/edge/oper/table_test.go
+++ b/internal/edge/oper/table_test.go
@@ -43,10 +43,10 @@
 		now: time.Unix(1_700_000_000, 0),
 	}
 	tab, err := oper.NewTable(oper.TableConfig{
-		Self:           self,
-		Clock:          man,
-		MaxRecords:     records,
-		MaxAnswerBytes: 2 << 20,
+		Self:             self,
+		Clock:            man,
+		MaxRecords:       records,
+		MaxResponseBytes: 2 << 20,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 		}
 	}
 	answered, notRun := oper.Outcome{State: oper.StateAnswered}, oper.Outcome{State: oper.StateNotRun}
-	large := oper.Outcome{State: oper.StateAnswered, Body: make([]byte, oper.MaxKeptBytes+1)}
+	large := oper.Outcome{State: oper.StateAnswered, Body: make([]byte, oper.MaxRecordResponseBytes+1)}
 	tests := []struct {
 		name    string
 		before  step
@@ -162,7 +162,7 @@
 	}
 	for idx, prt := range prs {
 		var buf bytes.Buffer
-		if err := gob.NewEncoder(&buf).Encode(prt); err != nil || buf.Len() > oper.MaxPartBytes {
+		if err := gob.NewEncoder(&buf).Encode(prt); err != nil || buf.Len() > oper.MaxChunkBytes {
 			t.Fatalf("part %d has %d bytes, error %v", idx, buf.Len(), err)
 		}
 		if got := next.Status(absent).State; got != oper.StateUnknown {
@@ -175,7 +175,7 @@
 		}
 	}
 	sts := next.Stats()
-	if len(prs) < 2 || sts.Records != 101 || sts.AnswerBytes != (99*100-54*55)/2*600 || sts.Whole != 1 || sts.Partial != 0 {
+	if len(prs) < 2 || sts.Records != 101 || sts.ResponseBytes != (99*100-54*55)/2*600 || sts.Complete != 1 || sts.Partial != 0 {
 		t.Errorf("%d parts, %+v", len(prs), sts)
 	}
 	for opn, want := range map[oper.Operation]oper.State{
@@ -300,13 +300,13 @@
 		t.Errorf("error %v, want invalid", err)
 	}
 	gone.Incarnation--
-	services[homeVM.ID].Handover(&oper.Part{
+	services[homeVM.ID].Handover(&oper.Chunk{
 		Home:        gone.ID,
 		Incarnation: gone.Incarnation,
 		Count:       1,
 		HomeMs:      1_700_000_000_000,
 	}, new(oper.HandoverReply))
-	services[nextVM.ID].Observe(cardamompass.Member{
+	services[nextVM.ID].RecordDeparture(cardamompass.Member{
 		VM: gone,
 	}.WithState(cardamompass.StateLeft).WithSuccessor(homeVM.ID))
 	req.Ticket = oper.Issue(gone, time.Unix(1_700_000_000, 0)).String()
--- a/internal/obs/metric/metric.go
+++ b/internal/obs/metric/metric.go
@@ -62,8 +62,8 @@
 // Scope returns the root scope.
 func (mtr *Metrics) Scope() tally.Scope { return mtr.scope }
 
-// Page returns the handler of the scrape page.
-func (mtr *Metrics) Page() http.Handler { return mtr.page }
+// Handler returns the handler of the scrape page.
+func (mtr *Metrics) Handler() http.Handler { return mtr.page }
 
 // LatencyBuckets are the bounds of latency histograms, from 0.25 ms to about 33 s.
 func LatencyBuckets() tally.Buckets {
--- a/internal/obs/metric/metric_test.go
+++ b/internal/obs/metric/metric_test.go
@@ -21,7 +21,7 @@
 	scp.Histogram("request-latency", metric.LatencyBuckets()).RecordDuration(time.Millisecond)
 	stop() // reports once more
 	rec := httptest.NewRecorder()
-	mtr.Page().ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
+	mtr.Handler().ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
 	page := rec.Body.String()
 	for _, name := range []string{"cardamompass_requests", "cardamompass_catalogue_version", "cardamompass_request_latency"} {
 		if !strings.Contains(page, name) {
--- a/internal/obs/trace/trace.go
+++ b/internal/obs/trace/trace.go
@@ -38,12 +38,12 @@
 	return ""
 }
 
-// Story is what the logs say of a request.
-type Story struct {
+// Timeline is what the logs say of a request.
+type Timeline struct {
 	// Lines are the request's lines in the order of their times.
 	Lines []Line
-	// Context are lines of the same VMs on what they believed, shortly before and during the request.
-	Context []Line
+	// StateChanges are lines of the same VMs on what they believed, shortly before and during the request.
+	StateChanges []Line
 	// Unreadable counts the lines that could not be read.
 	Unreadable int
 }
@@ -58,7 +58,7 @@
 }
 
 // Read reads logs and returns the story of the request with an id.
-func Read(request string, logs ...io.Reader) (sty Story, err error) {
+func Read(request string, logs ...io.Reader) (sty Timeline, err error) {
 	defer func() { err = errors.Wrap(err, "read logs") }()
 	var changes []Line
 	for _, log := range logs {
@@ -82,12 +82,12 @@
 	byTime := func(one, two Line) int { return one.Time.Compare(two.Time) }
 	slices.SortStableFunc(sty.Lines, byTime)
 	slices.SortStableFunc(changes, byTime)
-	sty.Context = sty.near(changes)
+	sty.StateChanges = sty.near(changes)
 	return sty, nil
 }
 
 // near returns the changes at the VMs of the request around its time.
-func (sty Story) near(changes []Line) (lines []Line) {
+func (sty Timeline) near(changes []Line) (lines []Line) {
 	if len(sty.Lines) == 0 {
 		return nil
 	}
@@ -129,7 +129,7 @@
 }
 
 // Cause names why the request ended as it did, from its last lines.
-func (sty Story) Cause() (text string) {
+func (sty Timeline) Cause() (text string) {
 	if len(sty.Lines) == 0 {
 		return "no line names this request: it reached none of these VMs, or its lines were dropped under load"
 	}
@@ -164,7 +164,7 @@
 }
 
 // answered explains an answer, which may be late or a failure of the target's own.
-func (sty Story) answered(last Line) (text string) {
+func (sty Timeline) answered(last Line) (text string) {
 	text = fmt.Sprintf("answered with %s by target %s in %s", last.Get("status"), sty.target(), last.Get("took"))
 	if failed := sty.last("attempt failed"); failed != nil {
 		text += fmt.Sprintf(", after target %s: %s", failed.Get("target"), failed.Get("kind"))
@@ -175,14 +175,14 @@
 	return text
 }
 
-func (sty Story) target() (name string) {
+func (sty Timeline) target() (name string) {
 	if sent := sty.last("request sent"); sent != nil {
 		return sent.Get("target")
 	}
 	return "none"
 }
 
-func (sty Story) last(event string) (lin *Line) {
+func (sty Timeline) last(event string) (lin *Line) {
 	for num := range sty.Lines {
 		if sty.Lines[num].Event == event {
 			lin = &sty.Lines[num]
--- a/internal/obs/trace/trace_test.go
+++ b/internal/obs/trace/trace_test.go
@@ -42,8 +42,8 @@
 			if err != nil || sty.Unreadable != 1 {
 				t.Fatalf("%d unreadable lines, error %v", sty.Unreadable, err)
 			}
-			if len(sty.Lines) != tst.lines || len(sty.Context) != tst.context || !strings.Contains(sty.Cause(), tst.cause) {
-				t.Fatalf("%d lines, %d of context, cause %q", len(sty.Lines), len(sty.Context), sty.Cause())
+			if len(sty.Lines) != tst.lines || len(sty.StateChanges) != tst.context || !strings.Contains(sty.Cause(), tst.cause) {
+				t.Fatalf("%d lines, %d of context, cause %q", len(sty.Lines), len(sty.StateChanges), sty.Cause())
 			}
 			for num := 1; num < len(sty.Lines); num++ {
 				if sty.Lines[num].Time.Before(sty.Lines[num-1].Time) {
--- a/internal/proof/limit/leaving_test.go
+++ b/internal/proof/limit/leaving_test.go
@@ -89,7 +89,7 @@
 	for _, vmp := range sit.VMs {
 		must(tst, cli.Call(ctx, vmp.PeerAddress, "Signs.Leaving", &entry.LeavingArgs{
 			Target: tid,
-		}, &entry.SignsReply{}))
+		}, &entry.EmptyReply{}))
 	}
 }
 
