--- a/internal/edge/engine/attempt.go
+++ b/internal/edge/engine/attempt.go
@@ -122,7 +122,7 @@
 		eng.cfg.Guard.Ended(rqt.key, clm.target.ID, broke)
 		return
 	}
-	eng.cfg.Tracker.Down(clm.target.ID, eng.cfg.Clock.Now())
+	eng.cfg.Tracker.MarkDown(clm.target.ID, eng.cfg.Clock.Now())
 	rep := eng.cfg.Guard.Crashed(clm.target.ID, broke, eng.cfg.Clock.Now())
 	eng.cfg.Guard.Ended(rqt.key, clm.target.ID, broke)
 	if !rep.Empty() {
--- a/internal/edge/engine/claim.go
+++ b/internal/edge/engine/claim.go
@@ -72,8 +72,8 @@
 	}
 	// The wish for near regions is recorded only now, so that local requests neither borrow their units nor start their ramps.
 	rqt.need(&scr.dec)
-	ask.Near = rqt.pln.near(rqt.req.CallerRegion)
-	for _, reg := range ask.Near {
+	ask.FallbackRegions = rqt.pln.near(rqt.req.CallerRegion)
+	for _, reg := range ask.FallbackRegions {
 		scr.snp.Regions = append(scr.snp.Regions, rqt.regionState(reg, now))
 	}
 	scr.dec = route.Decide(&scr.snp, &ask, scr.dec)
@@ -109,7 +109,7 @@
 // need records the lack of slots in the regions that were rejected for it.
 func (rqt *request) need(dec *route.Decision) {
 	for _, vdt := range dec.Regions {
-		if vdt.Reason == route.ReasonNoShare || vdt.Reason == route.ReasonNearestWithRoom {
+		if vdt.Reason == route.ReasonNoShare || vdt.Reason == route.ReasonNearestAvailable {
 			rqt.eng.cfg.Pool.Slots(share.SlotsName(rqt.req.Service, vdt.Region)).RecordUnmet()
 		}
 	}
@@ -185,5 +185,5 @@
 	if clm.unreserve != nil {
 		clm.unreserve()
 	}
-	rqt.sta.queue.Released()
+	rqt.sta.queue.SlotReleased()
 }
--- a/internal/edge/engine/engine.go
+++ b/internal/edge/engine/engine.go
@@ -343,7 +343,7 @@
 			for _, sta := range eng.plan.Load().services {
 				if sta.queue.Len() > 0 {
 					busy = true
-					sta.queue.ReleasedAll()
+					sta.queue.SlotsReleased()
 				}
 			}
 		}
--- a/internal/edge/engine/execute.go
+++ b/internal/edge/engine/execute.go
@@ -143,10 +143,10 @@
 		fit = fit + "/" + rqt.key.String()
 	}
 	err = rqt.sta.queue.Wait(ctx, queue.Item{
-		Class:    rqt.sta.svc.Class,
-		Deadline: rqt.req.Deadline,
-		Expected: rqt.eng.cfg.Tracker.Latency(rqt.req.Service).Usual,
-		Fit:      fit,
+		Class:       rqt.sta.svc.Class,
+		Deadline:    rqt.req.Deadline,
+		Expected:    rqt.eng.cfg.Tracker.Latency(rqt.req.Service).Usual,
+		Requirement: fit,
 	}, func() (claimed bool) {
 		clm, claimed = rqt.tryClaim()
 		claimed = claimed || rqt.refused.Action == guard.Refuse
@@ -221,13 +221,13 @@
 func (rqt *request) tryHedge(clm *claim, delay time.Duration) (hdg *claim, ok bool) {
 	now := rqt.eng.cfg.Clock.Now()
 	inp := budget.HedgeInput{
-		Idempotent: rqt.req.Idempotent,
-		Class:      rqt.sta.svc.Class,
-		Age:        now.Sub(clm.began),
-		Delay:      delay,
-		Left:       rqt.req.Deadline.Sub(now),
-		Usual:      rqt.eng.cfg.Tracker.Latency(rqt.req.Service).Usual,
-		Room:       rqt.sta.queue.Len() == 0,
+		Idempotent:  rqt.req.Idempotent,
+		Class:       rqt.sta.svc.Class,
+		Age:         now.Sub(clm.began),
+		Delay:       delay,
+		Left:        rqt.req.Deadline.Sub(now),
+		Usual:       rqt.eng.cfg.Tracker.Latency(rqt.req.Service).Usual,
+		HasCapacity: rqt.sta.queue.Len() == 0,
 	}
 	if budget.DecideHedge(inp) != budget.HedgeAllowed {
 		return nil, false
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -276,13 +276,13 @@
 	prc.guard = guard.New(guard.Config{
 		Self:        prc.vm.ID,
 		Incarnation: prc.vm.Incarnation,
-		Life:        set.Guard.BlockTime,
+		TTL:         set.Guard.BlockTime,
 	})
 	prc.arbiter = guard.NewArbiter()
 	rly, stop, err := relay.New(relay.Config{
 		Clock: prc.cfg.Clock,
 		Draining: func(tid cardamompass.TargetID) {
-			prc.tracker.Mark(tid, health.SignDrain, prc.cfg.Clock.Now())
+			prc.tracker.MarkLeaving(tid, health.SignalDrainAnswer, prc.cfg.Clock.Now())
 		},
 	})
 	if err != nil {
--- a/internal/edge/entry/follow.go
+++ b/internal/edge/entry/follow.go
@@ -83,7 +83,7 @@
 			prc.refreshLookups()
 			prc.engine.MembersChanged()
 			prc.pool.MembersChanged()
-			prc.prober.SetFleet(len(prc.members.Members()))
+			prc.prober.SetFleetSize(len(prc.members.Members()))
 			prc.prober.SetTargets(prc.engine.Targets())
 		}
 	}
@@ -203,12 +203,12 @@
 		seen[lvm.Name] = true
 		prc.listed[lvm.Name] = true
 		if lvm.Leaving {
-			prc.tracker.Mark(cardamompass.TargetID(lvm.Name), health.SignList, now)
+			prc.tracker.MarkLeaving(cardamompass.TargetID(lvm.Name), health.SignalVMList, now)
 		}
 	}
 	for name := range prc.listed {
 		if !seen[name] {
-			prc.tracker.Mark(cardamompass.TargetID(name), health.SignList, now)
+			prc.tracker.MarkLeaving(cardamompass.TargetID(name), health.SignalVMList, now)
 		}
 	}
 	prc.members.Hint(entries)
--- a/internal/edge/entry/signs.go
+++ b/internal/edge/entry/signs.go
@@ -43,7 +43,7 @@
 
 // Leaving records the report of a peer that a target leaves.
 func (sgn *TargetService) Leaving(args *LeavingArgs, _ *EmptyReply) (err error) {
-	sgn.prc.tracker.Mark(args.Target, health.SignPeer, sgn.prc.cfg.Clock.Now())
+	sgn.prc.tracker.MarkLeaving(args.Target, health.SignalPeerReport, sgn.prc.cfg.Clock.Now())
 	return nil
 }
 
@@ -53,7 +53,7 @@
 	now := sgn.prc.cfg.Clock.Now()
 	sgn.prc.guard.Merge(args.Report, now)
 	for _, sus := range args.Report.Suspicions {
-		sgn.prc.tracker.Down(sus.Target, now)
+		sgn.prc.tracker.MarkDown(sus.Target, now)
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 
 // announceLeaving tells other VMs at once that a target leaves, without waiting for them.
 func (prc *Process) announceLeaving(rep health.LeavingReport) {
-	prc.cfg.Log.Info("target leaves", zap.String("target", string(rep.Target)), zap.String("sign", rep.Sign.String()))
+	prc.cfg.Log.Info("target leaves", zap.String("target", string(rep.Target)), zap.String("sign", rep.Signal.String()))
 	peers := prc.others()
 	args := &LeavingArgs{
 		Target: rep.Target,
--- a/internal/edge/front/bench_test.go
+++ b/internal/edge/front/bench_test.go
@@ -70,7 +70,7 @@
 		Clock:    cardamompass.SystemClock{},
 		Log:      log,
 		Scope:    mtr.Scope(),
-		Board:    brd,
+		Balancer: brd,
 		Sender:   snd,
 		View:     func() *view.View { return vew },
 		Age:      func() time.Duration { return 0 },
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -44,7 +44,7 @@
 	Clock    cardamompass.Clock
 	Log      *zap.Logger
 	Scope    tally.Scope
-	Board    *place.Board
+	Balancer *place.Balancer
 	Sender   *send.Sender
 	// View returns the current view of the fleet, Age the time since the store's last answer.
 	View func() *view.View
@@ -192,7 +192,7 @@
 	}
 	obj := rand.Uint64()
 	if exc.route.Sticky && exc.inc.AffinityKey != "" {
-		obj = place.ObjectHash(exc.service, exc.inc.AffinityKey)
+		obj = place.AffinityHash(exc.service, exc.inc.AffinityKey)
 	}
 	run := &job{
 		exc:         exc,
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -25,15 +25,15 @@
 
 // site is a Front with stand-in targets behind it.
 type site struct {
-	t       *testing.T
-	targets []*ptarg.Target
-	stops   []func()
-	front   *front.Front
-	server  *httptest.Server
-	mu      sync.Mutex
-	vew     *view.View
-	board   *place.Board
-	crashes []cardamompass.Crash
+	t        *testing.T
+	targets  []*ptarg.Target
+	stops    []func()
+	front    *front.Front
+	server   *httptest.Server
+	mu       sync.Mutex
+	vew      *view.View
+	balancer *place.Balancer
+	crashes  []cardamompass.Crash
 }
 
 const service = cardamompass.ServiceName("svc")
@@ -73,8 +73,8 @@
 func newSite(t *testing.T, targets int) (sit *site) {
 	t.Helper()
 	sit = &site{
-		t:     t,
-		board: place.New(place.Config{Self: "vm-1", Region: "r"}),
+		t:        t,
+		balancer: place.New(place.Config{Self: "vm-1", Region: "r"}),
 	}
 	snd, stopSender := send.New(send.Config{
 		Protocol: platform.Protocol{},
@@ -88,7 +88,7 @@
 		Clock:    cardamompass.SystemClock{},
 		Log:      zap.NewNop(),
 		Scope:    mtr.Scope(),
-		Board:    sit.board,
+		Balancer: sit.balancer,
 		Sender:   snd,
 		View:     sit.view,
 		Age:      func() time.Duration { return 0 },
@@ -145,7 +145,7 @@
 		sit.vew = view.Empty()
 	}
 	sit.vew = sit.vew.WithChanges(chs, 1, view.Outage{}, time.Now())
-	sit.board.Sync(sit.vew, time.Now())
+	sit.balancer.Sync(sit.vew, time.Now())
 }
 
 func (sit *site) crashed(crs cardamompass.Crash) {
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -108,14 +108,14 @@
 	}
 	frt := run.exc.frt
 	now := frt.cfg.Clock.Now()
-	chc, ok := frt.cfg.Board.Choose(place.Query{
-		Service: run.exc.service,
-		Object:  run.object,
-		Route:   run.exc.route,
-		Tried:   run.tried,
-		MaxLoad: maxLoad(run.exc.vew.Table, run.exc.route),
-		Spare:   spare,
-		Now:     now,
+	chc, ok := frt.cfg.Balancer.Choose(place.Query{
+		Service:      run.exc.service,
+		AffinityHash: run.object,
+		Route:        run.exc.route,
+		Tried:        run.tried,
+		MaxLoad:      maxLoad(run.exc.vew.Table, run.exc.route),
+		Hedge:        spare,
+		Now:          now,
 	})
 	if !ok {
 		return nil, errors.Errorf("no target of %s can be used: %+v", run.exc.service, chc.Rejected)
@@ -124,7 +124,7 @@
 		run.exc.log.Info("repeat not allowed", zap.Bool("second", spare), zap.String("reason", "budget"))
 		return nil, errors.New("the budget of repeats is used up")
 	}
-	frt.cfg.Board.Sent(chc.Instance.ID, now)
+	frt.cfg.Balancer.RecordSent(chc.Instance.ID, now)
 	run.tried = append(run.tried, chc.Instance.ID)
 	sctx, cancel := context.WithDeadline(ctx, run.msg.Deadline)
 	atm = &attempt{
@@ -211,9 +211,9 @@
 // settled tells the board what became of an attempt.
 func (frt *Front) settled(object uint64, atm *attempt) {
 	out := place.Outcome{
-		Instance: atm.chc.Instance.ID,
-		Object:   object,
-		Load:     atm.rep.Stated.Load,
+		Instance:     atm.chc.Instance.ID,
+		AffinityHash: object,
+		Load:         atm.rep.Stated.Load,
 	}
 	var fai *send.Failure
 	if errors.As(atm.err, &fai) {
@@ -222,7 +222,7 @@
 	} else if atm.rep.Status >= http.StatusInternalServerError {
 		out.Result = place.ResultFailed
 	}
-	frt.cfg.Board.Done(out, frt.cfg.Clock.Now())
+	frt.cfg.Balancer.RecordOutcome(out, frt.cfg.Clock.Now())
 	if out.Load != nil {
 		frt.cfg.Stated(out.Instance, *out.Load)
 	}
--- a/internal/edge/front/share.go
+++ b/internal/edge/front/share.go
@@ -34,7 +34,7 @@
 func (frt *Front) retries(svc cardamompass.ServiceName) (bud *budget.Budget) {
 	now := frt.cfg.Clock.Now()
 	set := frt.cfg.Settings
-	count := frt.cfg.Board.VMs(now)
+	count := frt.cfg.Balancer.VMs(now)
 	minimum := int(math.Floor(budgetSafety * float64(set.RetryBudgetSlack) / float64(count)))
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -63,7 +63,7 @@
 	follower *view.Follower
 	presence *presence
 	caster   *cast.Exchanger
-	board    *place.Board
+	balancer *place.Balancer
 	sender   *send.Sender
 	front    *front.Front
 	stopping atomic.Bool
@@ -87,7 +87,7 @@
 			PeerAddress:   set.PeerAddress,
 			Capacity:      set.Capacity(),
 		},
-		board: place.New(place.Config{
+		balancer: place.New(place.Config{
 			Self:           set.ID,
 			Region:         set.Region,
 			Regions:        set.Regions,
@@ -128,7 +128,7 @@
 			Clock:    cfg.Clock,
 			Log:      cfg.Log,
 			Scope:    scp,
-			Board:    nod.board,
+			Balancer: nod.balancer,
 			Sender:   nod.sender,
 			View:     nod.follower.View,
 			Age:      nod.follower.Age,
@@ -143,7 +143,7 @@
 		return nil, nil, err
 	}
 	nod.every(trimInterval, nod.trim)
-	nod.every(censusInterval, func() { nod.board.NoteHeard(len(nod.caster.Running())+1, cfg.Clock.Now()) })
+	nod.every(censusInterval, func() { nod.balancer.SetRunningVMs(len(nod.caster.Running())+1, cfg.Clock.Now()) })
 	nod.every(gaugeInterval, func() { nod.gauges(scp) })
 	return nod, nod.close, nil
 }
@@ -168,7 +168,7 @@
 func (nod *Node) heard(reports []cast.Report) {
 	now := nod.cfg.Clock.Now()
 	for _, rpt := range reports {
-		nod.board.Heard(rpt.Instance, rpt.Load, rpt.Age, now)
+		nod.balancer.RecordPeerLoad(rpt.Instance, rpt.Load, rpt.Age, now)
 	}
 }
 
@@ -204,7 +204,7 @@
 
 // changed takes over a new view.
 func (nod *Node) changed(_, next *view.View) {
-	nod.board.Sync(next, nod.cfg.Clock.Now())
+	nod.balancer.Sync(next, nod.cfg.Clock.Now())
 }
 
 // trim closes idle connections that are too old or lead to targets that are gone.
--- a/internal/edge/node/state.go
+++ b/internal/edge/node/state.go
@@ -38,7 +38,7 @@
 	StoreAge     float64             `json:"store-age"` // seconds; negative if the store never answered
 	Active       int                 `json:"active-requests"`
 	Running      []cardamompass.VMID `json:"other-vms"`
-	Board        place.Dump          `json:"board"`
+	Balancer     place.Dump          `json:"board"`
 }
 
 // dump writes the state of the process as JSON.
@@ -50,7 +50,7 @@
 		Revision: vew.Revision,
 		StoreAge: nod.follower.Age().Seconds(),
 		Active:   nod.front.Active(),
-		Board:    nod.board.Dump(nod.cfg.Clock.Now()),
+		Balancer: nod.balancer.Dump(nod.cfg.Clock.Now()),
 	}
 	if vew.Table != nil {
 		sta.TableVersion = vew.Table.Version
--- a/internal/steer/budget/budget_test.go
+++ b/internal/steer/budget/budget_test.go
@@ -69,13 +69,13 @@
 func TestTryHedge(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	good := budget.HedgeInput{
-		Idempotent: true,
-		Class:      cardamompass.ClassShort,
-		Age:        30 * time.Millisecond,
-		Delay:      budget.HedgeDelay(25*time.Millisecond, 10*time.Millisecond),
-		Left:       time.Second,
-		Usual:      10 * time.Millisecond,
-		Room:       true,
+		Idempotent:  true,
+		Class:       cardamompass.ClassShort,
+		Age:         30 * time.Millisecond,
+		Delay:       budget.HedgeDelay(25*time.Millisecond, 10*time.Millisecond),
+		Left:        time.Second,
+		Usual:       10 * time.Millisecond,
+		HasCapacity: true,
 	}
 	tests := []struct {
 		name   string
@@ -87,7 +87,7 @@
 		{"download doubled", func(inp *budget.HedgeInput) { inp.Class = cardamompass.ClassLong }, budget.HedgeNotShort},
 		{"hedge before the delay", func(inp *budget.HedgeInput) { inp.Age = 0 }, budget.HedgeTooEarly},
 		{"hedge that cannot finish", func(inp *budget.HedgeInput) { inp.Left = 0 }, budget.HedgeNoTime},
-		{"hedge into a full region", func(inp *budget.HedgeInput) { inp.Room = false }, budget.HedgeNoRoom},
+		{"hedge into a full region", func(inp *budget.HedgeInput) { inp.HasCapacity = false }, budget.HedgeNoCapacity},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
--- a/internal/steer/budget/hedge.go
+++ b/internal/steer/budget/hedge.go
@@ -39,8 +39,8 @@
 	HedgeNotShort
 	// HedgeTooEarly forbids a hedge before the hedge delay.
 	HedgeTooEarly
-	// HedgeNoRoom forbids a hedge for which no region has room.
-	HedgeNoRoom
+	// HedgeNoCapacity forbids a hedge for which no region has room.
+	HedgeNoCapacity
 	// HedgeNoTime forbids a hedge that cannot finish before the deadline.
 	HedgeNoTime
 	// HedgeNoBudget forbids a hedge because the budget is used up.
@@ -58,7 +58,7 @@
 		return "not-short"
 	case HedgeTooEarly:
 		return "too-early"
-	case HedgeNoRoom:
+	case HedgeNoCapacity:
 		return "no-room"
 	case HedgeNoTime:
 		return "no-time"
@@ -82,8 +82,8 @@
 	// Left is the time until the deadline, Usual the usual latency of the service.
 	Left  time.Duration
 	Usual time.Duration
-	// Room reports whether a decision found a candidate for the hedge in a region with room.
-	Room bool
+	// HasCapacity reports whether a decision found a candidate for the hedge in a region with room.
+	HasCapacity bool
 }
 
 // DecideHedge returns whether the request may be hedged, without the budget.
@@ -97,8 +97,8 @@
 		return HedgeTooEarly
 	case inp.Left < inp.Usual:
 		return HedgeNoTime
-	case !inp.Room:
-		return HedgeNoRoom
+	case !inp.HasCapacity:
+		return HedgeNoCapacity
 	default:
 		return HedgeAllowed
 	}
--- a/internal/steer/guard/guard.go
+++ b/internal/steer/guard/guard.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	// DefaultLife is the time for which a content stays a suspect or blocked.
-	DefaultLife = 10 * time.Minute
+	// DefaultTTL is the time for which a content stays a suspect or blocked.
+	DefaultTTL = 10 * time.Minute
 	// DefaultMaxRecords bounds the suspects and blocked contents of a VM. One crash of a target makes at most some
 	// tens of suspects, so that this covers about a hundred crashes in ten minutes.
 	DefaultMaxRecords = 4096
@@ -44,8 +44,8 @@
 	// Self and Incarnation identify the VM's process in reports.
 	Self        cardamompass.VMID
 	Incarnation cardamompass.Incarnation
-	// Life and MaxRecords replace the defaults when they are positive.
-	Life       time.Duration
+	// TTL and MaxRecords replace the defaults when they are positive.
+	TTL        time.Duration
 	MaxRecords int
 }
 
@@ -57,8 +57,8 @@
 	Run Action = iota
 	// WaitCopy asks to wait until another copy of the suspect has ended.
 	WaitCopy
-	// WaitNeighbour asks for another target, or to wait until another suspect on this target has ended.
-	WaitNeighbour
+	// WaitOtherSuspect asks for another target, or to wait until another suspect on this target has ended.
+	WaitOtherSuspect
 	// Refuse says that the content is blocked.
 	Refuse
 )
@@ -70,7 +70,7 @@
 		return "run"
 	case WaitCopy:
 		return "wait-copy"
-	case WaitNeighbour:
+	case WaitOtherSuspect:
 		return "wait-neighbour"
 	case Refuse:
 		return "refuse"
@@ -93,8 +93,8 @@
 	Suspect bool
 }
 
-// Mark identifies one suspicion: one crash that one VM saw.
-type Mark struct {
+// SuspicionID identifies one suspicion: one crash that one VM saw.
+type SuspicionID struct {
 	VM          cardamompass.VMID
 	Incarnation cardamompass.Incarnation
 	Seq         uint64
@@ -103,7 +103,7 @@
 // Suspicion reports a content that was in flight on a target that crashed.
 type Suspicion struct {
 	Key    Key
-	Mark   Mark
+	Mark   SuspicionID
 	Target cardamompass.TargetID
 	// Left is the time until the suspicion ends, so that the clocks of the VMs need not agree.
 	Left time.Duration
@@ -118,7 +118,7 @@
 // Clear reports that a suspect ran and its target did not crash. It ends the suspicions that the reporting VM knew.
 type Clear struct {
 	Key   Key
-	Marks []Mark
+	Marks []SuspicionID
 }
 
 // Report is what one VM tells the others. Merging a report twice has no further effect.
@@ -135,10 +135,10 @@
 
 // Entry is one suspect or blocked content, for the state dump.
 type Entry struct {
-	Key     Key
-	Blocked bool
-	Until   time.Time
-	Marks   int
+	Key        Key
+	Blocked    bool
+	Until      time.Time
+	Suspicions int
 }
 
 // Guard is the guard of one VM.
@@ -149,8 +149,8 @@
 
 // New returns a guard without suspects.
 func New(cfg Config) (grd *Guard) {
-	if cfg.Life <= 0 {
-		cfg.Life = DefaultLife
+	if cfg.TTL <= 0 {
+		cfg.TTL = DefaultTTL
 	}
 	if cfg.MaxRecords <= 0 {
 		cfg.MaxRecords = DefaultMaxRecords
--- a/internal/steer/guard/guard_test.go
+++ b/internal/steer/guard/guard_test.go
@@ -205,7 +205,7 @@
 			grd.Admit(keyOf("/x"), "c", now).Action,
 			grd.Admit(keyOf("/y"), "c", now).Action,
 		}
-		want := []guard.Action{guard.Run, guard.WaitNeighbour, guard.WaitCopy, guard.Run}
+		want := []guard.Action{guard.Run, guard.WaitOtherSuspect, guard.WaitCopy, guard.Run}
 		if !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
--- a/internal/steer/guard/state.go
+++ b/internal/steer/guard/state.go
@@ -21,7 +21,7 @@
 
 // record is a suspect or a blocked content.
 type record struct {
-	marks   []Mark
+	marks   []SuspicionID
 	blocked bool
 	until   time.Time
 }
@@ -72,7 +72,7 @@
 		}
 	case sta.suspectOn(tid, now):
 		return Verdict{
-			Action: WaitNeighbour,
+			Action: WaitOtherSuspect,
 			Reason: "content is suspected of crashing its target and another suspect runs on the target",
 		}
 	}
@@ -183,29 +183,29 @@
 // accuse blocks a content that ran as a suspect, and makes any other content a suspect.
 func (sta *state) accuse(one run, tid cardamompass.TargetID, now time.Time, rep *Report) {
 	if one.suspect {
-		sta.block(one.key, now.Add(sta.cfg.Life), now)
+		sta.block(one.key, now.Add(sta.cfg.TTL), now)
 		rep.Blocks = append(rep.Blocks, Block{
 			Key:  one.key,
-			Left: sta.cfg.Life,
+			Left: sta.cfg.TTL,
 		})
 		return
 	}
 	sta.seq++
-	mrk := Mark{
+	mrk := SuspicionID{
 		VM:          sta.cfg.Self,
 		Incarnation: sta.cfg.Incarnation,
 		Seq:         sta.seq,
 	}
-	sta.suspect(one.key, mrk, now.Add(sta.cfg.Life), now)
+	sta.suspect(one.key, mrk, now.Add(sta.cfg.TTL), now)
 	rep.Suspicions = append(rep.Suspicions, Suspicion{
 		Key:    one.key,
 		Mark:   mrk,
 		Target: tid,
-		Left:   sta.cfg.Life,
+		Left:   sta.cfg.TTL,
 	})
 }
 
-func (sta *state) suspect(key Key, mrk Mark, until, now time.Time) {
+func (sta *state) suspect(key Key, mrk SuspicionID, until, now time.Time) {
 	rec := sta.ensure(key, now)
 	if rec.blocked || slices.Contains(rec.marks, mrk) {
 		return
@@ -270,10 +270,10 @@
 
 func (sta *state) merge(rep Report, now time.Time) {
 	for _, sus := range rep.Suspicions {
-		sta.suspect(sus.Key, sus.Mark, now.Add(min(sus.Left, sta.cfg.Life)), now)
+		sta.suspect(sus.Key, sus.Mark, now.Add(min(sus.Left, sta.cfg.TTL)), now)
 	}
 	for _, blk := range rep.Blocks {
-		sta.block(blk.Key, now.Add(min(blk.Left, sta.cfg.Life)), now)
+		sta.block(blk.Key, now.Add(min(blk.Left, sta.cfg.TTL)), now)
 	}
 	for _, clr := range rep.Clears {
 		sta.clear(clr, now)
@@ -286,7 +286,7 @@
 	if rec == nil || rec.blocked {
 		return
 	}
-	marks := make([]Mark, 0, len(rec.marks))
+	marks := make([]SuspicionID, 0, len(rec.marks))
 	for _, mrk := range rec.marks {
 		if !slices.Contains(clr.Marks, mrk) {
 			marks = append(marks, mrk)
@@ -304,10 +304,10 @@
 			continue
 		}
 		ents = append(ents, Entry{
-			Key:     key,
-			Blocked: rec.blocked,
-			Until:   rec.until,
-			Marks:   len(rec.marks),
+			Key:        key,
+			Blocked:    rec.blocked,
+			Until:      rec.until,
+			Suspicions: len(rec.marks),
 		})
 	}
 	slices.SortFunc(ents, func(one, two Entry) int { return bytes.Compare(one.Key[:], two.Key[:]) })
--- a/internal/steer/health/health_test.go
+++ b/internal/steer/health/health_test.go
@@ -77,20 +77,20 @@
 				reps[int(now.Sub(epoch)/(100*time.Millisecond))+rng.IntN(11)] = true
 			}))
 		}
-		trks[rng.IntN(7)].Mark("core-1", health.Sign(rng.IntN(3)), now)
+		trks[rng.IntN(7)].MarkLeaving("core-1", health.LeaveSignal(rng.IntN(3)), now)
 		for step := range 400 {
 			now = epoch.Add(time.Duration(step) * 100 * time.Millisecond)
 			for i, trk := range trks {
 				if reps[step] {
-					trk.Mark("core-1", health.SignPeer, now)
+					trk.MarkLeaving("core-1", health.SignalPeerReport, now)
 				}
 				// Each VM probes once a second, at a time of its own.
 				switch {
 				case step%10 != phases[i]:
 				case now.Sub(epoch) < 2*time.Second:
-					trk.Probed("core-1", false, now)
+					trk.ProbeSucceeded("core-1", false, now)
 				default:
-					trk.Mark("core-1", health.SignProbe, now)
+					trk.MarkLeaving("core-1", health.SignalHealthProbe, now)
 				}
 			}
 			trk := trks[rng.IntN(7)]
@@ -109,24 +109,24 @@
 func TestSignLifeTimes(t *testing.T) {
 	tests := []struct {
 		name    string
-		sign    health.Sign
+		sign    health.LeaveSignal
 		serving bool
 		life    time.Duration
 	}{
-		{"peer report that outlives 10 s", health.SignPeer, false, 10 * time.Second},
-		{"VM list entry that lasts for ever", health.SignList, false, 30 * time.Second},
-		{"draining probe that lasts although a later one says serving", health.SignProbe, true, 5 * time.Second},
-		{"draining probe that ends without a later one", health.SignProbe, false, 2 * time.Minute},
-		{"drain answer that lasts although a later probe says serving", health.SignDrain, true, 30 * time.Second},
-		{"drain answer that ends without a probe", health.SignDrain, false, 2 * time.Minute},
+		{"peer report that outlives 10 s", health.SignalPeerReport, false, 10 * time.Second},
+		{"VM list entry that lasts for ever", health.SignalVMList, false, 30 * time.Second},
+		{"draining probe that lasts although a later one says serving", health.SignalHealthProbe, true, 5 * time.Second},
+		{"draining probe that ends without a later one", health.SignalHealthProbe, false, 2 * time.Minute},
+		{"drain answer that lasts although a later probe says serving", health.SignalDrainAnswer, true, 30 * time.Second},
+		{"drain answer that ends without a probe", health.SignalDrainAnswer, false, 2 * time.Minute},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
 			announced := 0
 			trk := newTracker(1, func(health.LeavingReport) { announced++ })
-			trk.Mark("core-0", tst.sign, epoch)
-			trk.Mark("core-0", tst.sign, epoch)
-			if want := min(1, int(health.SignPeer-tst.sign)); announced != want {
+			trk.MarkLeaving("core-0", tst.sign, epoch)
+			trk.MarkLeaving("core-0", tst.sign, epoch)
+			if want := min(1, int(health.SignalPeerReport-tst.sign)); announced != want {
 				t.Errorf("announced %d times, want %d", announced, want)
 			}
 			if dec := decide(trk, 6, epoch.Add(tst.life-time.Millisecond)); len(dec.Candidates) != 0 {
@@ -134,7 +134,7 @@
 			}
 			now := epoch.Add(tst.life)
 			if tst.serving {
-				trk.Probed("core-0", false, now)
+				trk.ProbeSucceeded("core-0", false, now)
 			}
 			dec := decide(trk, 8, now)
 			if len(dec.Candidates) != 1 || dec.Candidates[0].Limit != 1 || dec.Candidates[0].RegionLimit != 2 {
@@ -161,7 +161,7 @@
 		t.Error("failing target is not tried again")
 	}
 	trk.ProbeFailed("core-0", epoch.Add(6*time.Second))
-	trk.Probed("core-0", false, epoch.Add(7*time.Second))
+	trk.ProbeSucceeded("core-0", false, epoch.Add(7*time.Second))
 	if dec := decide(trk, 6, epoch.Add(7*time.Second)); len(dec.Candidates) != 1 || dec.Candidates[0].Limit != 1 {
 		t.Errorf("restored target: %+v", dec.Candidates)
 	}
@@ -253,7 +253,7 @@
 	prb.SetTargets(tgts)
 	rep := <-signs
 	stop()
-	if rep.Sign != health.SignProbe || rep.Target != "core-0" {
+	if rep.Signal != health.SignalHealthProbe || rep.Target != "core-0" {
 		t.Errorf("report %+v", rep)
 	}
 	tst := snapshot(trk, 6, time.Now(), route.Snapshot{}).Targets[0]
--- a/internal/steer/health/probe.go
+++ b/internal/steer/health/probe.go
@@ -90,9 +90,9 @@
 	prb.wtg.Wait()
 }
 
-// SetFleet tells the number of entry VMs. Beyond ten of them each VM probes less often, since a VM tells others what it finds, down
+// SetFleetSize tells the number of entry VMs. Beyond ten of them each VM probes less often, since a VM tells others what it finds, down
 // to MinProbesPerSecond, which leaves room for the other roles in the 10 KB/s that a VM may spend on control.
-func (prb *Prober) SetFleet(members int) {
+func (prb *Prober) SetFleetSize(members int) {
 	prb.mut.Lock()
 	defer prb.mut.Unlock()
 	prb.perSecond = min(prb.cfg.PerSecond, max(MinProbesPerSecond, fleetProbesPerSecond/max(1, members)))
@@ -172,10 +172,10 @@
 		prb.cfg.Tracker.ProbeFailed(tgt.ID, now)
 		return
 	case hlt.State == "draining":
-		prb.cfg.Tracker.Mark(tgt.ID, SignProbe, now)
+		prb.cfg.Tracker.MarkLeaving(tgt.ID, SignalHealthProbe, now)
 		return
 	case hlt.State == "serving" || hlt.State == "cold":
-		prb.cfg.Tracker.Probed(tgt.ID, hlt.State == "cold", now)
+		prb.cfg.Tracker.ProbeSucceeded(tgt.ID, hlt.State == "cold", now)
 	default:
 		prb.cfg.Tracker.ProbeFailed(tgt.ID, now)
 		return
@@ -185,7 +185,7 @@
 		Slots    int `json:"slots"`
 	}
 	if err = prb.get(pctx, "http://"+tgt.Address+"/load", &lod); err == nil {
-		prb.cfg.Tracker.Load(tgt.ID, lod.InFlight, lod.Slots, prb.cfg.Clock.Now())
+		prb.cfg.Tracker.RecordLoad(tgt.ID, lod.InFlight, lod.Slots, prb.cfg.Clock.Now())
 	}
 }
 
--- a/internal/steer/health/sign.go
+++ b/internal/steer/health/sign.go
@@ -6,18 +6,18 @@
 	"cardamompass"
 )
 
-// Sign is a source that says that a target leaves.
-type Sign uint8
+// LeaveSignal is a source that says that a target leaves.
+type LeaveSignal uint8
 
 const (
-	// SignList is the platform's VM list.
-	SignList Sign = iota
-	// SignDrain is an answer of the target that names the state draining.
-	SignDrain
-	// SignProbe is the target's health endpoint.
-	SignProbe
-	// SignPeer is the report of another entry VM.
-	SignPeer
+	// SignalVMList is the platform's VM list.
+	SignalVMList LeaveSignal = iota
+	// SignalDrainAnswer is an answer of the target that names the state draining.
+	SignalDrainAnswer
+	// SignalHealthProbe is the target's health endpoint.
+	SignalHealthProbe
+	// SignalPeerReport is the report of another entry VM.
+	SignalPeerReport
 	signCount
 )
 
@@ -29,8 +29,8 @@
 	drainLife = 30 * time.Second
 	// probeLife covers a few probes, so that a health endpoint that flaps does not restore the target.
 	probeLife = 5 * time.Second
-	// PeerLife is how long the report of a peer lasts unless an own sign confirms it.
-	PeerLife = 10 * time.Second
+	// PeerReportTTL is how long the report of a peer lasts unless an own sign confirms it.
+	PeerReportTTL = 10 * time.Second
 	// confirmLife bounds the time for which the word of the target, in a drain answer or a probe, lasts beyond its life
 	// time while no own probe says that it serves. Without the bound, a health endpoint that never answers again would
 	// cost the VM the target.
@@ -38,15 +38,15 @@
 )
 
 // String returns the kebab-case name of the sign.
-func (sgn Sign) String() (name string) {
+func (sgn LeaveSignal) String() (name string) {
 	switch sgn {
-	case SignList:
+	case SignalVMList:
 		return "vm-list"
-	case SignDrain:
+	case SignalDrainAnswer:
 		return "drain-answer"
-	case SignProbe:
+	case SignalHealthProbe:
 		return "health-probe"
-	case SignPeer:
+	case SignalPeerReport:
 		return "peer-report"
 	default:
 		return "invalid"
@@ -54,21 +54,21 @@
 }
 
 // MarshalText implements encoding.TextMarshaler for the state dump.
-func (sgn Sign) MarshalText() (text []byte, err error) { return []byte(sgn.String()), nil }
+func (sgn LeaveSignal) MarshalText() (text []byte, err error) { return []byte(sgn.String()), nil }
 
 // own reports whether this VM saw the sign itself. Only own signs are sent to peers, so that a report does not circulate.
-func (sgn Sign) own() (yes bool) { return sgn != SignPeer }
+func (sgn LeaveSignal) own() (yes bool) { return sgn != SignalPeerReport }
 
-func (sgn Sign) life() (lif time.Duration) {
+func (sgn LeaveSignal) life() (lif time.Duration) {
 	switch sgn {
-	case SignList:
+	case SignalVMList:
 		return listLife
-	case SignDrain:
+	case SignalDrainAnswer:
 		return drainLife
-	case SignProbe:
+	case SignalHealthProbe:
 		return probeLife
 	default:
-		return PeerLife
+		return PeerReportTTL
 	}
 }
 
@@ -81,13 +81,13 @@
 
 // with returns the set after one more sign. fresh reports that no own sign was in force, so that peers must learn of
 // this one.
-func (sgs signs) with(sgn Sign, now time.Time) (next signs, fresh bool) {
+func (sgs signs) with(sgn LeaveSignal, now time.Time) (next signs, fresh bool) {
 	fresh = sgn.own()
 	for one := range signCount {
 		fresh = fresh && (!one.own() || !now.Before(sgs.until[one]))
 	}
 	sgs.until[sgn] = now.Add(sgn.life())
-	if sgn == SignDrain || sgn == SignProbe {
+	if sgn == SignalDrainAnswer || sgn == SignalHealthProbe {
 		sgs.confirmBy = now.Add(confirmLife)
 	}
 	return sgs, fresh
@@ -96,7 +96,7 @@
 // withServing returns the set after an own probe that found the target serving. It ends no sign early, because health
 // endpoints lag.
 func (sgs signs) withServing(now time.Time) (next signs) {
-	if !now.Before(sgs.until[SignDrain]) && !now.Before(sgs.until[SignProbe]) {
+	if !now.Before(sgs.until[SignalDrainAnswer]) && !now.Before(sgs.until[SignalHealthProbe]) {
 		sgs.confirmBy = time.Time{}
 	}
 	return sgs
@@ -114,16 +114,16 @@
 	return false
 }
 
-func (sgs signs) view(now time.Time) (vws []SignView) {
+func (sgs signs) view(now time.Time) (vws []SignalView) {
 	for sgn, unt := range sgs.until {
-		own := Sign(sgn)
-		if (own == SignDrain || own == SignProbe) && !unt.IsZero() && sgs.confirmBy.After(unt) {
+		own := LeaveSignal(sgn)
+		if (own == SignalDrainAnswer || own == SignalHealthProbe) && !unt.IsZero() && sgs.confirmBy.After(unt) {
 			unt = sgs.confirmBy
 		}
 		if now.Before(unt) {
-			vws = append(vws, SignView{
-				Sign:  own,
-				Until: unt,
+			vws = append(vws, SignalView{
+				Signal: own,
+				Until:  unt,
 			})
 		}
 	}
@@ -133,5 +133,5 @@
 // LeavingReport tells a peer that a target leaves.
 type LeavingReport struct {
 	Target cardamompass.TargetID
-	Sign   Sign
+	Signal LeaveSignal
 }
--- a/internal/steer/health/track.go
+++ b/internal/steer/health/track.go
@@ -177,21 +177,21 @@
 	tgt.grp.free = flt
 }
 
-// Mark records a sign that the target leaves. A new own sign is announced.
-func (trk *Tracker) Mark(tid cardamompass.TargetID, sgn Sign, now time.Time) {
+// MarkLeaving records a sign that the target leaves. A new own sign is announced.
+func (trk *Tracker) MarkLeaving(tid cardamompass.TargetID, sgn LeaveSignal, now time.Time) {
 	if trk.update(tid, now, func(tgt *target) (fresh bool) {
 		tgt.sgs, fresh = tgt.sgs.with(sgn, now)
 		return fresh
 	}) && trk.cfg.Announce != nil {
 		trk.cfg.Announce(LeavingReport{
 			Target: tid,
-			Sign:   sgn,
+			Signal: sgn,
 		})
 	}
 }
 
-// Probed records that the health endpoint answered and names the target serving or cold.
-func (trk *Tracker) Probed(tid cardamompass.TargetID, cold bool, now time.Time) {
+// ProbeSucceeded records that the health endpoint answered and names the target serving or cold.
+func (trk *Tracker) ProbeSucceeded(tid cardamompass.TargetID, cold bool, now time.Time) {
 	trk.update(tid, now, func(tgt *target) (fresh bool) {
 		tgt.setProbed(cold, now)
 		return false
@@ -206,16 +206,16 @@
 	})
 }
 
-// Down records that the target broke a connection and then refused a new one. It counts as failing at once.
-func (trk *Tracker) Down(tid cardamompass.TargetID, now time.Time) {
+// MarkDown records that the target broke a connection and then refused a new one. It counts as failing at once.
+func (trk *Tracker) MarkDown(tid cardamompass.TargetID, now time.Time) {
 	trk.update(tid, now, func(tgt *target) (fresh bool) {
 		tgt.down(now)
 		return false
 	})
 }
 
-// Load records a load report. It is a hint for 5 s.
-func (trk *Tracker) Load(tid cardamompass.TargetID, inFlight, slots int, now time.Time) {
+// RecordLoad records a load report. It is a hint for 5 s.
+func (trk *Tracker) RecordLoad(tid cardamompass.TargetID, inFlight, slots int, now time.Time) {
 	trk.update(tid, now, func(tgt *target) (fresh bool) {
 		tgt.setLoad(inFlight, slots, now)
 		return false
@@ -269,17 +269,17 @@
 // TargetView is the state of one target for the state dump.
 type TargetView struct {
 	State route.TargetState
-	// Signs are the signs in force, each with its end.
-	Signs []SignView
+	// Signals are the signs in force, each with its end.
+	Signals []SignalView
 	// Failures counts the consecutive failures, Late the consecutive requests that ended late.
 	Failures int
 	Late     int
 }
 
-// SignView is one sign in force.
-type SignView struct {
-	Sign  Sign
-	Until time.Time
+// SignalView is one sign in force.
+type SignalView struct {
+	Signal LeaveSignal
+	Until  time.Time
 }
 
 // View returns the state of the service's targets for the state dump.
@@ -293,7 +293,7 @@
 		for _, tgt := range grp.tgts {
 			views = append(views, TargetView{
 				State:    tgt.state(now),
-				Signs:    tgt.sgs.view(now),
+				Signals:  tgt.sgs.view(now),
 				Failures: tgt.failures,
 				Late:     tgt.late,
 			})
--- a/internal/steer/place/choose.go
+++ b/internal/steer/place/choose.go
@@ -43,16 +43,16 @@
 // Query asks for an instance.
 type Query struct {
 	Service cardamompass.ServiceName
-	// Object is the hash of the object; see ObjectHash.
-	Object uint64
+	// AffinityHash is the hash of the object; see ObjectHash.
+	AffinityHash uint64
 	// Route gives the home regions.
 	Route *cardamompass.Route
 	// Tried are the instances to which the request was sent already.
 	Tried []cardamompass.InstanceID
 	// MaxLoad is the load relative to the slots at which an instance is full for this request.
 	MaxLoad float64
-	// Spare asks for an instance with room to spare, for a second copy of a request that is under way.
-	Spare bool
+	// Hedge asks for an instance with room to spare, for a second copy of a request that is under way.
+	Hedge bool
 	Now   time.Time
 }
 
@@ -104,13 +104,13 @@
 	return nil
 }
 
-// ObjectHash hashes an object of a service. Objects of one name are different in each service.
-func ObjectHash(svc cardamompass.ServiceName, object string) (hash uint64) {
+// AffinityHash hashes an object of a service. Objects of one name are different in each service.
+func AffinityHash(svc cardamompass.ServiceName, object string) (hash uint64) {
 	return xxhash.Sum64String(string(svc) + "\x00" + object)
 }
 
 // Choose returns the instance for a request. ok is false when no instance can be used; the choice then holds the reasons.
-func (brd *Board) Choose(qry Query) (chc Choice, ok bool) {
+func (brd *Balancer) Choose(qry Query) (chc Choice, ok bool) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	ranked, rej := brd.rank(qry)
@@ -141,10 +141,10 @@
 
 // fastest returns the index of the instance with the smallest expected time among the close ranks that have room, or else that of the
 // first instance with room to spare; -1 if there is none.
-func (brd *Board) fastest(qry Query, ranked []candidate, rej *Rejected) (best int) {
-	trl := brd.trail(qry.Object)
+func (brd *Balancer) fastest(qry Query, ranked []candidate, rej *Rejected) (best int) {
+	trl := brd.trail(qry.AffinityHash)
 	limit := qry.MaxLoad
-	if qry.Spare {
+	if qry.Hedge {
 		limit = spareLoad
 	}
 	best = -1
@@ -158,7 +158,7 @@
 		}
 	}
 	// A second copy beyond the close ranks would hardly be in time and take the room of fast work.
-	if best >= 0 || qry.Spare || len(ranked) <= closeRanks {
+	if best >= 0 || qry.Hedge || len(ranked) <= closeRanks {
 		return best
 	}
 	return brd.beyond(qry, ranked, trl, rej)
@@ -166,7 +166,7 @@
 
 // beyond returns the index of the first instance beyond the close ranks with room to spare, -1 if there is none or if these instances
 // are busy together.
-func (brd *Board) beyond(qry Query, ranked []candidate, trl *trail, rej *Rejected) (first int) {
+func (brd *Balancer) beyond(qry Query, ranked []candidate, trl *trail, rej *Rejected) (first int) {
 	others := ranked[closeRanks:]
 	load := 0.0
 	for num := range others {
@@ -203,9 +203,9 @@
 func (cnd *candidate) full(limit float64) (ok bool) { return cnd.load >= limit*cnd.slots() }
 
 // rank returns the first usable instances in the order of the object. Instances to avoid are used only when there are no others.
-func (brd *Board) rank(qry Query) (ranked []candidate, rej Rejected) {
+func (brd *Balancer) rank(qry Query) (ranked []candidate, rej Rejected) {
 	div := brd.division(qry.Service, qry.Now)
-	region := regionOf(div, brd.cfg.Region, float64(qry.Object>>11)/(1<<53))
+	region := regionOf(div, brd.cfg.Region, float64(qry.AffinityHash>>11)/(1<<53))
 	var avoided []candidate
 	ranked = make([]candidate, 0, ranksKept+1)
 	for _, sta := range brd.byService[qry.Service] {
@@ -215,7 +215,7 @@
 		cnd := candidate{
 			sta:   sta,
 			order: regionOrder(sta.ins.Region, region, brd.cfg.Region),
-			hash:  mix(qry.Object, sta.hash),
+			hash:  mix(qry.AffinityHash, sta.hash),
 		}
 		if qry.Now.Before(sta.avoidUntil) {
 			rej.Avoided++
@@ -251,7 +251,7 @@
 	return cnd.hash > oth.hash
 }
 
-func (brd *Board) usable(qry Query, sta *state, rej *Rejected) (ok bool) {
+func (brd *Balancer) usable(qry Query, sta *state, rej *Rejected) (ok bool) {
 	ins := &sta.ins
 	switch {
 	case ins.Leaving:
@@ -272,7 +272,7 @@
 
 // coldQuota is the number of requests a second that this VM may send to a cold instance. The quotas of all VMs add up to the bound,
 // less one for the requests that cross a change of the number of VMs.
-func (brd *Board) coldQuota(ins *cardamompass.Instance, now time.Time) (quota int) {
+func (brd *Balancer) coldQuota(ins *cardamompass.Instance, now time.Time) (quota int) {
 	total := int(math.Floor(brd.policy(ins.Service).ColdRate*brd.cfg.ColdOverage+brd.cfg.ColdSlack)) - 1
 	count := brd.vms.count(now)
 	if now.Sub(brd.started) < acquaintance && count < len(brd.cfg.Regions) {
@@ -297,7 +297,7 @@
 }
 
 // expect estimates the time that the request takes at a candidate.
-func (brd *Board) expect(cnd *candidate, rank int, trl *trail, now time.Time) {
+func (brd *Balancer) expect(cnd *candidate, rank int, trl *trail, now time.Time) {
 	sta := cnd.sta
 	slots := cnd.slots()
 	cnd.load = sta.estimate(now)
--- a/internal/steer/place/dump.go
+++ b/internal/steer/place/dump.go
@@ -36,7 +36,7 @@
 }
 
 // Dump returns the state at a time.
-func (brd *Board) Dump(now time.Time) (dmp Dump) {
+func (brd *Balancer) Dump(now time.Time) (dmp Dump) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	dmp.VMs = brd.vms.count(now)
--- a/internal/steer/place/parts.go
+++ b/internal/steer/place/parts.go
@@ -26,7 +26,7 @@
 const divisionInterval = 100 * time.Millisecond
 
 // division returns the parts of a service at a time, moved towards what the registrations ask for.
-func (brd *Board) division(svc cardamompass.ServiceName, now time.Time) (div map[cardamompass.Region]float64) {
+func (brd *Balancer) division(svc cardamompass.ServiceName, now time.Time) (div map[cardamompass.Region]float64) {
 	prt, ok := brd.parts[svc]
 	if !ok {
 		prt = &parts{
@@ -48,7 +48,7 @@
 }
 
 // room returns the slots of each region that requests can use.
-func (brd *Board) room(svc cardamompass.ServiceName) (slots map[cardamompass.Region]float64) {
+func (brd *Balancer) room(svc cardamompass.ServiceName) (slots map[cardamompass.Region]float64) {
 	slots = make(map[cardamompass.Region]float64)
 	for _, ins := range brd.vew.Instances(svc) {
 		if !ins.Leaving && !brd.vew.Evacuated(ins.FailureDomain) {
@@ -59,7 +59,7 @@
 }
 
 // demand returns the part of the callers in each region, taken to be even over the failure domains.
-func (brd *Board) demand() (part map[cardamompass.Region]float64) {
+func (brd *Balancer) demand() (part map[cardamompass.Region]float64) {
 	part = make(map[cardamompass.Region]float64)
 	for _, reg := range brd.cfg.Regions {
 		part[reg] += 1 / float64(len(brd.cfg.Regions))
--- a/internal/steer/place/place.go
+++ b/internal/steer/place/place.go
@@ -32,8 +32,8 @@
 	MaxRegionShift float64
 }
 
-// Board knows the state of every instance and chooses among them. It is safe for concurrent use and reads no clock.
-type Board struct {
+// Balancer knows the state of every instance and chooses among them. It is safe for concurrent use and reads no clock.
+type Balancer struct {
 	cfg Config
 
 	mu     sync.Mutex
@@ -50,8 +50,8 @@
 }
 
 // New returns a Board that knows no instance.
-func New(cfg Config) (brd *Board) {
-	return &Board{
+func New(cfg Config) (brd *Balancer) {
+	return &Balancer{
 		cfg:    cfg,
 		vew:    view.Empty(),
 		states: make(map[cardamompass.InstanceID]*state),
@@ -61,7 +61,7 @@
 }
 
 // Sync takes over a new view of the fleet.
-func (brd *Board) Sync(vew *view.View, now time.Time) {
+func (brd *Balancer) Sync(vew *view.View, now time.Time) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	old := brd.vew
@@ -100,15 +100,15 @@
 	}
 }
 
-func (brd *Board) policy(svc cardamompass.ServiceName) (pol cardamompass.ServicePolicy) {
+func (brd *Balancer) policy(svc cardamompass.ServiceName) (pol cardamompass.ServicePolicy) {
 	if brd.vew.Table == nil {
 		return pol
 	}
 	return brd.vew.Table.Services[svc]
 }
 
-// NoteHeard takes the number of VMs that run by their own word, this one included.
-func (brd *Board) NoteHeard(count int, now time.Time) {
+// SetRunningVMs takes the number of VMs that run by their own word, this one included.
+func (brd *Balancer) SetRunningVMs(count int, now time.Time) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	brd.heard = count
@@ -116,11 +116,11 @@
 }
 
 // recount notes the present number of VMs: the larger of those that the store names and those that were heard.
-func (brd *Board) recount(now time.Time) { brd.vms.note(max(brd.heard, len(brd.vew.VMs())), now) }
+func (brd *Balancer) recount(now time.Time) { brd.vms.note(max(brd.heard, len(brd.vew.VMs())), now) }
 
 // VMs returns the number of VMs among which common budgets are divided, at least 1. A VM that has just started may not know the others
 // yet and takes them to be as many as there are failure domains.
-func (brd *Board) VMs(now time.Time) (count int) {
+func (brd *Balancer) VMs(now time.Time) (count int) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	if now.Sub(brd.started) < acquaintance {
@@ -129,8 +129,8 @@
 	return brd.vms.count(now)
 }
 
-// Sent notes that a request goes to an instance.
-func (brd *Board) Sent(id cardamompass.InstanceID, now time.Time) {
+// RecordSent notes that a request goes to an instance.
+func (brd *Balancer) RecordSent(id cardamompass.InstanceID, now time.Time) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	if sta, ok := brd.states[id]; ok {
@@ -141,8 +141,8 @@
 	}
 }
 
-// Heard takes a load that an instance stated to another VM some time ago.
-func (brd *Board) Heard(id cardamompass.InstanceID, lod cardamompass.Load, age time.Duration, now time.Time) {
+// RecordPeerLoad takes a load that an instance stated to another VM some time ago.
+func (brd *Balancer) RecordPeerLoad(id cardamompass.InstanceID, lod cardamompass.Load, age time.Duration, now time.Time) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	if sta, ok := brd.states[id]; ok && now.Add(-age).After(sta.loadAt) {
@@ -173,14 +173,14 @@
 // Outcome is a Result with what the instance stated.
 type Outcome struct {
 	Instance cardamompass.InstanceID
-	// Object is the hash of the object, as in Query.
-	Object uint64
-	Result Result
-	Load   *cardamompass.Load
+	// AffinityHash is the hash of the object, as in Query.
+	AffinityHash uint64
+	Result       Result
+	Load         *cardamompass.Load
 }
 
-// Done notes what became of a request for which Sent was called.
-func (brd *Board) Done(out Outcome, now time.Time) {
+// RecordOutcome notes what became of a request for which Sent was called.
+func (brd *Balancer) RecordOutcome(out Outcome, now time.Time) {
 	brd.mu.Lock()
 	defer brd.mu.Unlock()
 	sta, ok := brd.states[out.Instance]
@@ -190,7 +190,7 @@
 	sta.inFlight = max(0, sta.inFlight-1)
 	sta.note(out, now)
 	if out.Result == ResultAnswered {
-		brd.trail(out.Object).note(out.Instance, now)
+		brd.trail(out.AffinityHash).note(out.Instance, now)
 	}
 }
 
--- a/internal/steer/place/place_test.go
+++ b/internal/steer/place/place_test.go
@@ -79,7 +79,7 @@
 	return view.Empty().WithListing(flt.changes, 1, view.Outage{}, start)
 }
 
-func newBoard(num int) (brd *place.Board) {
+func newBoard(num int) (brd *place.Balancer) {
 	return place.New(place.Config{
 		Self:           cardamompass.VMID(fmt.Sprintf("vm-%d", num)),
 		Region:         "a",
@@ -92,11 +92,11 @@
 
 func query(object uint64, now time.Time) (qry place.Query) {
 	return place.Query{
-		Service: service,
-		Object:  object,
-		Route:   &cardamompass.Route{},
-		MaxLoad: 2,
-		Now:     now,
+		Service:      service,
+		AffinityHash: object,
+		Route:        &cardamompass.Route{},
+		MaxLoad:      2,
+		Now:          now,
 	}
 }
 
@@ -107,7 +107,7 @@
 	one.Sync(vew, start)
 	two.Sync(vew, start)
 	for object := range uint64(200) {
-		hash := place.ObjectHash(service, fmt.Sprint(object))
+		hash := place.AffinityHash(service, fmt.Sprint(object))
 		first, ok1 := one.Choose(query(hash, start))
 		second, ok2 := two.Choose(query(hash, start))
 		if !ok1 || !ok2 || first.Instance.ID != second.Instance.ID {
@@ -164,7 +164,7 @@
 		flt := newFleet(vms).with("a-1", 1)
 		flt.changes[len(flt.changes)-1].Instance.ColdFor = 3 * time.Second
 		vew := flt.view()
-		boards := make([]*place.Board, vms)
+		boards := make([]*place.Balancer, vms)
 		for num := range boards {
 			boards[num] = newBoard(num)
 			boards[num].Sync(newFleet(vms).view(), start.Add(-time.Minute)) // the VMs run for a while when the target starts
@@ -175,8 +175,8 @@
 		for now := start; now.Before(start.Add(2500 * time.Millisecond)); now = now.Add(time.Duration(rng.IntN(5)) * time.Millisecond) {
 			brd := boards[rng.IntN(vms)]
 			if chc, ok := brd.Choose(query(rng.Uint64(), now)); ok {
-				brd.Sent(chc.Instance.ID, now)
-				brd.Done(place.Outcome{
+				brd.RecordSent(chc.Instance.ID, now)
+				brd.RecordOutcome(place.Outcome{
 					Instance: chc.Instance.ID,
 				}, now)
 				sent = append(sent, now)
@@ -217,7 +217,7 @@
 		brd.Sync(cold(vms), start)
 		for now := start; now.Before(start.Add(time.Second)); now = now.Add(20 * time.Millisecond) {
 			if chc, ok := brd.Choose(query(1, now)); ok {
-				brd.Sent(chc.Instance.ID, now)
+				brd.RecordSent(chc.Instance.ID, now)
 				sent++
 			}
 		}
@@ -248,7 +248,7 @@
 func TestHeardVMsCount(t *testing.T) {
 	brd := newBoard(1)
 	brd.Sync(newFleet(1).view(), start)
-	brd.NoteHeard(7, start)
+	brd.SetRunningVMs(7, start)
 	brd.Sync(newFleet(1).view(), start.Add(time.Minute))
 	if got := brd.VMs(start.Add(time.Minute)); got != 7 {
 		t.Fatalf("%d VMs, want 7", got)
@@ -263,7 +263,7 @@
 	served := func(now time.Time) (part map[cardamompass.Region]float64) {
 		part = make(map[cardamompass.Region]float64)
 		for object := range uint64(2000) {
-			chc, ok := brd.Choose(query(place.ObjectHash(service, fmt.Sprint(object)), now))
+			chc, ok := brd.Choose(query(place.AffinityHash(service, fmt.Sprint(object)), now))
 			if !ok {
 				t.Fatal("no target")
 			}
@@ -304,7 +304,7 @@
 			refused++
 			continue
 		}
-		brd.Sent(chc.Instance.ID, start)
+		brd.RecordSent(chc.Instance.ID, start)
 		used[chc.Instance.ID]++
 	}
 	for id, count := range used {
@@ -360,8 +360,8 @@
 }
 
 // state makes an instance state a number of running requests.
-func state(brd *place.Board, id cardamompass.InstanceID, running int) {
-	brd.Heard(id, cardamompass.Load{
+func state(brd *place.Balancer, id cardamompass.InstanceID, running int) {
+	brd.RecordPeerLoad(id, cardamompass.Load{
 		Running:  running,
 		Slots:    6,
 		Slowness: 1,
@@ -387,8 +387,8 @@
 			first, _ := brd.Choose(query(9, start))
 			tst.out.Instance = first.Instance.ID
 			for range 4 {
-				brd.Sent(first.Instance.ID, start)
-				brd.Done(tst.out, start)
+				brd.RecordSent(first.Instance.ID, start)
+				brd.RecordOutcome(tst.out, start)
 			}
 			second, ok := brd.Choose(query(9, start))
 			if !ok || second.Instance.ID == first.Instance.ID {
@@ -403,8 +403,8 @@
 	brd := newBoard(1)
 	brd.Sync(newFleet(1).with("a-1", 1).view(), start)
 	chc, _ := brd.Choose(query(9, start))
-	brd.Sent(chc.Instance.ID, start)
-	brd.Done(place.Outcome{
+	brd.RecordSent(chc.Instance.ID, start)
+	brd.RecordOutcome(place.Outcome{
 		Instance: chc.Instance.ID,
 		Result:   place.ResultUnreachable,
 	}, start)
@@ -422,9 +422,9 @@
 		Regions: regions,
 	})
 	brd.Sync(view.Empty(), start.Add(-time.Minute)) // not a VM that has just started
-	brd.NoteHeard(7, start)
+	brd.SetRunningVMs(7, start)
 	for left := 6; left >= 3; left-- {
-		brd.NoteHeard(left, start.Add(time.Duration(6-left)*pause))
+		brd.SetRunningVMs(left, start.Add(time.Duration(6-left)*pause))
 	}
 	tests := []struct {
 		after time.Duration
@@ -441,7 +441,7 @@
 			t.Errorf("%d VMs %v after the first stop, want %d", got, tst.after, tst.want)
 		}
 	}
-	brd.NoteHeard(5, start.Add(10*time.Second))
+	brd.SetRunningVMs(5, start.Add(10*time.Second))
 	if got := brd.VMs(start.Add(10 * time.Second)); got != 5 {
 		t.Errorf("%d VMs once two have started, want 5", got)
 	}
--- a/internal/steer/place/state.go
+++ b/internal/steer/place/state.go
@@ -196,7 +196,7 @@
 	return false
 }
 
-func (brd *Board) trail(object uint64) (trl *trail) {
+func (brd *Balancer) trail(object uint64) (trl *trail) {
 	trl, ok := brd.trails[object]
 	if ok {
 		return trl
--- a/internal/steer/queue/line.go
+++ b/internal/steer/queue/line.go
@@ -52,7 +52,7 @@
 
 func (lin *line) push(wtr *waiter) {
 	lan := lin.lane(wtr.item.Class)
-	lan.fits[wtr.item.Fit]++
+	lan.fits[wtr.item.Requirement]++
 	wtr.elm = lan.PushBack(wtr)
 }
 
@@ -61,8 +61,8 @@
 		return
 	}
 	lan := lin.lane(wtr.item.Class)
-	if lan.fits[wtr.item.Fit]--; lan.fits[wtr.item.Fit] == 0 {
-		delete(lan.fits, wtr.item.Fit)
+	if lan.fits[wtr.item.Requirement]--; lan.fits[wtr.item.Requirement] == 0 {
+		delete(lan.fits, wtr.item.Requirement)
 	}
 	lan.Remove(wtr.elm)
 	wtr.elm = nil
@@ -80,7 +80,7 @@
 // ahead reports whether a waiter with the same fit goes before an arrival of class cls. An arrival must not overtake
 // it, but it may pass waiters that need other slots.
 func (lin *line) ahead(itm Item) (yes bool) {
-	return lin.short.fits[itm.Fit] > 0 || itm.Class == cardamompass.ClassLong && lin.long.fits[itm.Fit] > 0
+	return lin.short.fits[itm.Requirement] > 0 || itm.Class == cardamompass.ClassLong && lin.long.fits[itm.Requirement] > 0
 }
 
 // each calls visit for the waiters in order until it returns false. visit may remove the waiter.
--- a/internal/steer/queue/queue.go
+++ b/internal/steer/queue/queue.go
@@ -48,18 +48,18 @@
 	// Deadline is when the caller needs the whole answer; Expected is the usual time for it.
 	Deadline time.Time
 	Expected time.Duration
-	// Fit names what the request needs, for example its caller's region. When a slot does not fit a waiter, the queue
-	// skips all other waiters with the same Fit without trying them.
-	Fit string
+	// Requirement names what the request needs, for example its caller's region. When a slot does not fit a waiter, the queue
+	// skips all other waiters with the same Requirement without trying them.
+	Requirement string
 }
 
-// Releaser is told that a slot became free. Implementations are safe for concurrent use.
-type Releaser interface {
-	// Released hands the slot to at most one waiter that it fits and reports whether there was one.
-	Released() (woken bool)
+// SlotObserver is told that a slot became free. Implementations are safe for concurrent use.
+type SlotObserver interface {
+	// SlotReleased hands the slot to at most one waiter that it fits and reports whether there was one.
+	SlotReleased() (woken bool)
 }
 
-var _ Releaser = (*Queue)(nil)
+var _ SlotObserver = (*Queue)(nil)
 
 // Queue is a bounded admission queue. It is safe for concurrent use.
 type Queue struct {
@@ -103,17 +103,17 @@
 	return <-wtr.done
 }
 
-// Released implements Releaser. It costs one try for each distinct Fit among the waiters in the worst case.
-func (que *Queue) Released() (woken bool) {
+// SlotReleased implements Releaser. It costs one try for each distinct Fit among the waiters in the worst case.
+func (que *Queue) SlotReleased() (woken bool) {
 	now := que.cfg.Clock.Now()
 	que.mut.Lock()
 	defer que.mut.Unlock()
 	return que.wakeOne(now)
 }
 
-// ReleasedAll hands out slots until no waiter fits any more, for use after a share has grown. It returns the number of
+// SlotsReleased hands out slots until no waiter fits any more, for use after a share has grown. It returns the number of
 // waiters that got one.
-func (que *Queue) ReleasedAll() (count int) {
+func (que *Queue) SlotsReleased() (count int) {
 	now := que.cfg.Clock.Now()
 	que.mut.Lock()
 	defer que.mut.Unlock()
@@ -166,11 +166,11 @@
 			que.finish(wtr, notRun(ReasonLate))
 			return true
 		}
-		if slices.Contains(misfits, wtr.item.Fit) {
+		if slices.Contains(misfits, wtr.item.Requirement) {
 			return true
 		}
 		if !wtr.try() {
-			misfits = append(misfits, wtr.item.Fit)
+			misfits = append(misfits, wtr.item.Requirement)
 			return true
 		}
 		que.finish(wtr, nil)
--- a/internal/steer/queue/queue_test.go
+++ b/internal/steer/queue/queue_test.go
@@ -67,10 +67,10 @@
 	ended := make(chan struct{})
 	bch.last = ended
 	itm := queue.Item{
-		Class:    cls,
-		Deadline: bch.clk.Now().Add(left),
-		Expected: 10 * time.Millisecond,
-		Fit:      fit,
+		Class:       cls,
+		Deadline:    bch.clk.Now().Add(left),
+		Expected:    10 * time.Millisecond,
+		Requirement: fit,
 	}
 	bch.wtg.Go(func() {
 		defer close(ended)
@@ -146,11 +146,11 @@
 		// More slots are free than are released, so that only the number of wake-ups limits the grants.
 		bch.free = len(want) + 1
 		for left := len(want); left > 0; left-- {
-			if !bch.que.Released() || bch.que.Len() != left-1 {
+			if !bch.que.SlotReleased() || bch.que.Len() != left-1 {
 				return "a slot did not wake exactly one waiter"
 			}
 		}
-		if bch.que.Released() {
+		if bch.que.SlotReleased() {
 			return "a slot woke a waiter of an empty queue"
 		}
 		bch.wtg.Wait()
@@ -184,7 +184,7 @@
 	bch.free = 1
 	bch.mut.Unlock()
 	overtaking := bch.send(cardamompass.ClassShort, "gulf", time.Minute)
-	if !bch.que.Released() {
+	if !bch.que.SlotReleased() {
 		t.Error("the slot woke nobody")
 	}
 	bch.stop()
--- a/internal/steer/route/decide.go
+++ b/internal/steer/route/decide.go
@@ -11,10 +11,10 @@
 // old is reused; the zero Decision is fine. The result does not refer to snp.
 func Decide(snp *Snapshot, req *Request, old Decision) (dec Decision) {
 	dec = old.Reset()
-	for pos := -1; pos < len(req.Near); pos++ {
+	for pos := -1; pos < len(req.FallbackRegions); pos++ {
 		reg := req.CallerRegion
 		if pos >= 0 {
-			reg = req.Near[pos]
+			reg = req.FallbackRegions[pos]
 		}
 		rsn := ReasonFartherRegion
 		if len(dec.Candidates) == 0 {
@@ -41,7 +41,7 @@
 	case needsShift && !rst.ShiftUnits:
 		return ReasonNoShiftUnits
 	}
-	limit, room := Room(snp, rst)
+	limit, room := RegionLimit(snp, rst)
 	if !room {
 		return ReasonNoShare
 	}
@@ -60,14 +60,14 @@
 		dec.Candidates[i].NeedsLink = needsLink
 		dec.Candidates[i].NeedsShift = needsShift
 	}
-	return ReasonNearestWithRoom
+	return ReasonNearestAvailable
 }
 
-// Room returns the number of own requests that the VM may have in flight on the region's targets that are not
+// RegionLimit returns the number of own requests that the VM may have in flight on the region's targets that are not
 // avoided, and whether one more fits. The slots of avoided targets, and those that cold targets do not use yet, are
 // taken out of the share in proportion. The result is rounded down, so that the shares of all VMs together never
 // exceed the slots that are left.
-func Room(snp *Snapshot, rst *RegionState) (limit int, room bool) {
+func RegionLimit(snp *Snapshot, rst *RegionState) (limit int, room bool) {
 	var total, inFlight, avoided int
 	var usable float64
 	for i := range snp.Targets {
--- a/internal/steer/route/prop_test.go
+++ b/internal/steer/route/prop_test.go
@@ -53,8 +53,8 @@
 		}
 	}
 	req = route.Request{
-		CallerRegion: regions[0],
-		Near:         regions[1:],
+		CallerRegion:    regions[0],
+		FallbackRegions: regions[1:],
 	}
 	if len(snp.Targets) > 0 && rng.IntN(2) == 0 {
 		req.Exclude = []cardamompass.TargetID{snp.Targets[rng.IntN(len(snp.Targets))].ID}
--- a/internal/steer/route/reason.go
+++ b/internal/steer/route/reason.go
@@ -16,8 +16,8 @@
 	ReasonOnlyStraggler
 	// ReasonRoundRobin is the choice of the naive baseline.
 	ReasonRoundRobin
-	// ReasonNearestWithRoom is the choice of a region.
-	ReasonNearestWithRoom
+	// ReasonNearestAvailable is the choice of a region.
+	ReasonNearestAvailable
 	// ReasonLeaving rejects a target that leaves.
 	ReasonLeaving
 	// ReasonFailing rejects a target that cannot be reached.
@@ -41,22 +41,22 @@
 )
 
 var reasonNames = [...]string{
-	ReasonLowestInFlight:  "lowest-in-flight",
-	ReasonRendezvous:      "rendezvous",
-	ReasonOtherDomain:     "other-domain",
-	ReasonOnlyStraggler:   "only-straggler",
-	ReasonRoundRobin:      "round-robin",
-	ReasonNearestWithRoom: "nearest-with-room",
-	ReasonLeaving:         "leaving",
-	ReasonFailing:         "failing",
-	ReasonExcluded:        "excluded",
-	ReasonTargetFull:      "target-full",
-	ReasonOverLimit:       "over-limit",
-	ReasonFartherRegion:   "farther-region",
-	ReasonNoShare:         "no-share",
-	ReasonNoLinkUnits:     "no-link-units",
-	ReasonNoShiftUnits:    "no-shift-units",
-	ReasonNoTarget:        "no-target",
+	ReasonLowestInFlight:   "lowest-in-flight",
+	ReasonRendezvous:       "rendezvous",
+	ReasonOtherDomain:      "other-domain",
+	ReasonOnlyStraggler:    "only-straggler",
+	ReasonRoundRobin:       "round-robin",
+	ReasonNearestAvailable: "nearest-with-room",
+	ReasonLeaving:          "leaving",
+	ReasonFailing:          "failing",
+	ReasonExcluded:         "excluded",
+	ReasonTargetFull:       "target-full",
+	ReasonOverLimit:        "over-limit",
+	ReasonFartherRegion:    "farther-region",
+	ReasonNoShare:          "no-share",
+	ReasonNoLinkUnits:      "no-link-units",
+	ReasonNoShiftUnits:     "no-shift-units",
+	ReasonNoTarget:         "no-target",
 }
 
 // String returns the kebab-case name of the reason.
--- a/internal/steer/route/route.go
+++ b/internal/steer/route/route.go
@@ -84,8 +84,8 @@
 // Request is the part of a caller's request on which a decision depends.
 type Request struct {
 	// CallerRegion is tried first, then Near in its order.
-	CallerRegion cardamompass.Region
-	Near         []cardamompass.Region
+	CallerRegion    cardamompass.Region
+	FallbackRegions []cardamompass.Region
 	// Exclude lists targets that already carried an attempt of the request.
 	Exclude []cardamompass.TargetID
 	// Limit bounds the candidates; DefaultLimit when it is zero.
--- a/internal/steer/route/sim_test.go
+++ b/internal/steer/route/sim_test.go
@@ -193,7 +193,7 @@
 		load := sim.tgts[tid].running + len(sim.tgts[tid].queue)
 		sim.after(simLateLoad, func() {
 			for _, vmc := range sim.vms {
-				vmc.trk.Load(tid, load, simSlots, sim.now)
+				vmc.trk.RecordLoad(tid, load, simSlots, sim.now)
 			}
 		})
 	}
@@ -278,16 +278,16 @@
 	_, room := req.vm.dec.Best()
 	lat := req.vm.trk.Latency(simService)
 	rsn := req.vm.hedges.TryHedge(budget.HedgeInput{
-		Idempotent: true,
-		Class:      cardamompass.ClassShort,
-		Age:        sim.now.Sub(req.arrived),
-		Left:       time.Minute,
-		Usual:      lat.Usual,
-		Room:       room,
+		Idempotent:  true,
+		Class:       cardamompass.ClassShort,
+		Age:         sim.now.Sub(req.arrived),
+		Left:        time.Minute,
+		Usual:       lat.Usual,
+		HasCapacity: room,
 	}, sim.now)
 	if rsn == budget.HedgeAllowed && sim.attempt(req, exclude) {
 		sim.result.extras++
-	} else if rsn == budget.HedgeNoBudget || rsn == budget.HedgeNoRoom {
+	} else if rsn == budget.HedgeNoBudget || rsn == budget.HedgeNoCapacity {
 		sim.after(simMedian, func() { sim.hedge(req) })
 	}
 }
