--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -212,12 +212,12 @@
 	set := prc.cfg.Settings
 	agt, stop, err := member.New(member.Config{
 		Machine: member.MachineConfig{
-			Self:          prc.vm,
-			Seeds:         set.Seeds,
-			RandomSeed:    prc.started.UnixNano(),
-			ProbeInterval: set.Membership.ProbeInterval,
-			PingTimeout:   set.Membership.ProbeTimeout,
-			Suspicion:     set.Membership.SuspectTime,
+			Self:             prc.vm,
+			Seeds:            set.Seeds,
+			RandomSeed:       prc.started.UnixNano(),
+			ProbeInterval:    set.Membership.ProbeInterval,
+			PingTimeout:      set.Membership.ProbeTimeout,
+			SuspicionTimeout: set.Membership.SuspectTime,
 		},
 		Caller: prc.client,
 		Clock:  prc.cfg.Clock,
@@ -247,7 +247,7 @@
 		return err
 	}
 	prc.spread = spr
-	agt.Attach(spr.Carrier())
+	agt.Attach(spr.PayloadHandler())
 	prc.onCleanup(stop)
 	prc.pool = share.New(share.Config{
 		Owner: share.Owner{
--- a/internal/edge/entry/follow.go
+++ b/internal/edge/entry/follow.go
@@ -211,5 +211,5 @@
 			prc.tracker.MarkLeaving(cardamompass.TargetID(name), health.SignalVMList, now)
 		}
 	}
-	prc.members.Hint(entries)
+	prc.members.ProbeListed(entries)
 }
--- a/internal/edge/entry/suspect.go
+++ b/internal/edge/entry/suspect.go
@@ -49,7 +49,7 @@
 		vms[string(peer.ID)] = peer
 		names = append(names, string(peer.ID))
 	}
-	return vms[spread.First(string(tid), names, 1)[0]]
+	return vms[spread.TopRanked(string(tid), names, 1)[0]]
 }
 
 // reserve asks for a target for a suspect. When the VM that decides can't be reached, the target is taken as granted: a request is not
--- a/internal/fleet/chaos_test.go
+++ b/internal/fleet/chaos_test.go
@@ -42,7 +42,7 @@
 	if teller.down || hearer.down || victim.down || teller == hearer {
 		return
 	}
-	hearer.member(member.PingArrived{
+	hearer.member(member.PingReceived{
 		Now: sml.now,
 		Message: member.Message{
 			From: teller.mch.Self(),
--- a/internal/fleet/member/agent.go
+++ b/internal/fleet/member/agent.go
@@ -15,8 +15,8 @@
 // MaxPayloadBytes bounds the payload of one subsystem on one message. Longer ones are not sent.
 const MaxPayloadBytes = 512
 
-// Carrier is a subsystem whose payload travels on probes and their answers.
-type Carrier struct {
+// PayloadHandler is a subsystem whose payload travels on probes and their answers.
+type PayloadHandler struct {
 	// Name identifies the subsystem at both ends.
 	Name string
 	// Produce returns the payload for a message that leaves now, nil for none. It must not block.
@@ -35,8 +35,8 @@
 	Clock cardamompass.Clock
 	// Logger receives changes of members. Optional.
 	Logger *zap.Logger
-	// Carriers are the subsystems whose payloads are carried. More can be added with Attach before Start.
-	Carriers []Carrier
+	// PayloadHandlers are the subsystems whose payloads are carried. More can be added with Attach before Start.
+	PayloadHandlers []PayloadHandler
 }
 
 // Agent is this VM's part in the membership. It is safe for concurrent use.
@@ -48,7 +48,7 @@
 	subs     map[chan struct{}]struct{}
 	started  bool
 	closed   bool
-	carriers []Carrier
+	carriers []PayloadHandler
 
 	view       atomic.Pointer[[]cardamompass.Member]
 	self       atomic.Pointer[cardamompass.Member]
@@ -83,7 +83,7 @@
 		cfg:        cfg,
 		mch:        NewMachine(cfg.Machine),
 		subs:       map[chan struct{}]struct{}{},
-		carriers:   cfg.Carriers,
+		carriers:   cfg.PayloadHandlers,
 		superseded: make(chan struct{}),
 		wake:       make(chan struct{}, 1),
 		end:        make(chan struct{}),
@@ -97,7 +97,7 @@
 }
 
 // Attach adds a subsystem whose payload is carried. Call it before Start.
-func (agt *Agent) Attach(car Carrier) {
+func (agt *Agent) Attach(car PayloadHandler) {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
 	agt.carriers = append(agt.carriers[:len(agt.carriers):len(agt.carriers)], car)
@@ -137,10 +137,10 @@
 // Superseded returns a channel that is closed when a later incarnation of this VM runs. The process should end then.
 func (agt *Agent) Superseded() <-chan struct{} { return agt.superseded }
 
-// Hint probes the listed entry VMs that are not known to serve, a few for each call. It never removes a member.
+// ProbeListed probes the listed entry VMs that are not known to serve, a few for each call. It never removes a member.
 // The list must not contain VMs of targets.
-func (agt *Agent) Hint(vms []cardamompass.ListedVM) {
-	agt.start(agt.apply(Hinted{
+func (agt *Agent) ProbeListed(vms []cardamompass.ListedVM) {
+	agt.start(agt.apply(VMsListed{
 		Now: agt.cfg.Clock.Now(),
 		VMs: vms,
 	}))
@@ -148,7 +148,7 @@
 
 // AnnounceLeaving tells the other members that a planned stop has begun.
 func (agt *Agent) AnnounceLeaving() {
-	agt.start(agt.apply(LeaveAsked{
+	agt.start(agt.apply(LeaveRequested{
 		Now: agt.cfg.Clock.Now(),
 	}))
 	agt.rouse()
@@ -160,7 +160,7 @@
 func (agt *Agent) Leave(ctx context.Context, successor cardamompass.VMID) (err error) {
 	defer func() { err = errors.Wrap(err, "leave the membership") }()
 	agt.AnnounceLeaving()
-	effects := agt.apply(LeaveAsked{
+	effects := agt.apply(LeaveRequested{
 		Now:       agt.cfg.Clock.Now(),
 		Successor: successor,
 		Final:     true,
--- a/internal/fleet/member/calls.go
+++ b/internal/fleet/member/calls.go
@@ -19,7 +19,7 @@
 // Ping answers a probe.
 func (svc *Service) Ping(args Message, reply *Message) (err error) {
 	agt := svc.agt
-	effects := agt.apply(PingArrived{
+	effects := agt.apply(PingReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Message: args,
 	})
@@ -33,7 +33,7 @@
 // PingReq probes the target of the request and tells whether it answered.
 func (svc *Service) PingReq(ctx context.Context, args RelayRequest, reply *RelayReply) (err error) {
 	agt := svc.agt
-	effects := agt.apply(RelayArrived{
+	effects := agt.apply(RelayReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Request: args,
 	})
@@ -97,13 +97,13 @@
 	var reply Message
 	err := agt.cfg.Caller.Call(ctx, png.Address, methodPing, agt.withPayloads(png.Message), &reply)
 	if err != nil {
-		agt.start(agt.apply(Missed{
+		agt.start(agt.apply(ProbeFailed{
 			Now:   agt.cfg.Clock.Now(),
 			Probe: png.Probe,
 		}))
 		return nil
 	}
-	agt.start(agt.apply(Answered{
+	agt.start(agt.apply(ProbeAnswered{
 		Now:     agt.cfg.Clock.Now(),
 		Probe:   png.Probe,
 		Message: reply,
@@ -121,7 +121,7 @@
 	err := agt.cfg.Caller.Call(ctx, req.Address, methodPingReq, args, &reply)
 	now := agt.cfg.Clock.Now()
 	if err != nil || !reply.Reached {
-		agt.start(agt.apply(Missed{
+		agt.start(agt.apply(ProbeFailed{
 			Now:   now,
 			Probe: req.Probe,
 		}))
@@ -130,7 +130,7 @@
 	reply.Message.Updates = append(reply.Message.Updates, Update{
 		Member: reply.Target,
 	})
-	agt.start(agt.apply(Answered{
+	agt.start(agt.apply(ProbeAnswered{
 		Now:     now,
 		Probe:   req.Probe,
 		Message: reply.Message,
@@ -138,7 +138,7 @@
 	agt.consume(reply.Message)
 }
 
-func (agt *Agent) attached() []Carrier {
+func (agt *Agent) attached() []PayloadHandler {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
 	return agt.carriers
--- a/internal/fleet/member/event.go
+++ b/internal/fleet/member/event.go
@@ -15,24 +15,24 @@
 	Now time.Time
 }
 
-// PingArrived is a probe from another VM. It has a Reply effect.
-type PingArrived struct {
+// PingReceived is a probe from another VM. It has a Reply effect.
+type PingReceived struct {
 	// Now is the current time.
 	Now time.Time
 	// Message is the probe.
 	Message Message
 }
 
-// RelayArrived is the request of another VM to probe a target. It has a Reply effect and a Ping effect with Relay set.
-type RelayArrived struct {
+// RelayReceived is the request of another VM to probe a target. It has a Reply effect and a Ping effect with Relay set.
+type RelayReceived struct {
 	// Now is the current time.
 	Now time.Time
 	// Request is the request.
 	Request RelayRequest
 }
 
-// Answered is the answer to a Ping, or to a PingReq whose target was reached.
-type Answered struct {
+// ProbeAnswered is the answer to a Ping, or to a PingReq whose target was reached.
+type ProbeAnswered struct {
 	// Now is the current time.
 	Now time.Time
 	// Probe is the number in the effect.
@@ -41,24 +41,24 @@
 	Message Message
 }
 
-// Missed is the end of a Ping or PingReq without an answer of the target.
-type Missed struct {
+// ProbeFailed is the end of a Ping or PingReq without an answer of the target.
+type ProbeFailed struct {
 	// Now is the current time.
 	Now time.Time
 	// Probe is the number in the effect.
 	Probe uint64
 }
 
-// Hinted is the platform's list of VMs, reduced to entry VMs.
-type Hinted struct {
+// VMsListed is the platform's list of VMs, reduced to entry VMs.
+type VMsListed struct {
 	// Now is the current time.
 	Now time.Time
 	// VMs is the list.
 	VMs []cardamompass.ListedVM
 }
 
-// LeaveAsked starts or completes the planned stop of this VM.
-type LeaveAsked struct {
+// LeaveRequested starts or completes the planned stop of this VM.
+type LeaveRequested struct {
 	// Now is the current time.
 	Now time.Time
 	// Successor answers for this VM's operations; empty while unknown.
@@ -67,13 +67,13 @@
 	Final bool
 }
 
-func (evt Tick) at() time.Time         { return evt.Now }
-func (evt PingArrived) at() time.Time  { return evt.Now }
-func (evt RelayArrived) at() time.Time { return evt.Now }
-func (evt Answered) at() time.Time     { return evt.Now }
-func (evt Missed) at() time.Time       { return evt.Now }
-func (evt Hinted) at() time.Time       { return evt.Now }
-func (evt LeaveAsked) at() time.Time   { return evt.Now }
+func (evt Tick) at() time.Time           { return evt.Now }
+func (evt PingReceived) at() time.Time   { return evt.Now }
+func (evt RelayReceived) at() time.Time  { return evt.Now }
+func (evt ProbeAnswered) at() time.Time  { return evt.Now }
+func (evt ProbeFailed) at() time.Time    { return evt.Now }
+func (evt VMsListed) at() time.Time      { return evt.Now }
+func (evt LeaveRequested) at() time.Time { return evt.Now }
 
 // Effect is an output of Machine.Apply.
 type Effect interface{ effect() }
--- a/internal/fleet/member/machine.go
+++ b/internal/fleet/member/machine.go
@@ -17,8 +17,8 @@
 	DefaultPingTimeout = 500 * time.Millisecond
 	// DefaultRelayTimeout covers the relay's own ping timeout and the way to the relay and back.
 	DefaultRelayTimeout = 800 * time.Millisecond
-	// DefaultSuspicion is the time that a suspected member has for its refutation.
-	DefaultSuspicion = 2 * time.Second
+	// DefaultSuspicionTimeout is the time that a suspected member has for its refutation.
+	DefaultSuspicionTimeout = 2 * time.Second
 	// DefaultRetention exceeds the 10 minutes for which operation records are kept, because the successor of a member
 	// that left must be known as long.
 	DefaultRetention = 15 * time.Minute
@@ -70,19 +70,19 @@
 	PingTimeout time.Duration
 	// RelayTimeout bounds a probe through another member.
 	RelayTimeout time.Duration
-	// Suspicion is the time between suspicion and death.
-	Suspicion time.Duration
+	// SuspicionTimeout is the time between suspicion and death.
+	SuspicionTimeout time.Duration
 	// Retention is the time for which ended members are kept.
 	Retention time.Duration
 }
 
 func (cfg MachineConfig) withDefaults() MachineConfig {
 	for ptr, def := range map[*time.Duration]time.Duration{
-		&cfg.ProbeInterval: DefaultProbeInterval,
-		&cfg.PingTimeout:   DefaultPingTimeout,
-		&cfg.RelayTimeout:  DefaultRelayTimeout,
-		&cfg.Suspicion:     DefaultSuspicion,
-		&cfg.Retention:     DefaultRetention,
+		&cfg.ProbeInterval:    DefaultProbeInterval,
+		&cfg.PingTimeout:      DefaultPingTimeout,
+		&cfg.RelayTimeout:     DefaultRelayTimeout,
+		&cfg.SuspicionTimeout: DefaultSuspicionTimeout,
+		&cfg.Retention:        DefaultRetention,
 	} {
 		if *ptr == 0 {
 			*ptr = def
@@ -210,17 +210,17 @@
 	switch evt := evt.(type) {
 	case Tick:
 		mch.tick(now)
-	case PingArrived:
+	case PingReceived:
 		mch.arrived(evt.Message, now)
-	case RelayArrived:
+	case RelayReceived:
 		mch.relay(evt.Request, now)
-	case Answered:
+	case ProbeAnswered:
 		mch.answered(evt, now)
-	case Missed:
+	case ProbeFailed:
 		mch.missed(evt.Probe, now)
-	case Hinted:
+	case VMsListed:
 		mch.hinted(evt.VMs, now)
-	case LeaveAsked:
+	case LeaveRequested:
 		mch.leave(evt, now)
 	}
 	effects, mch.effects = mch.effects, nil
--- a/internal/fleet/member/machine_test.go
+++ b/internal/fleet/member/machine_test.go
@@ -80,17 +80,17 @@
 	pps := properties(t)
 	pps.Property("the order of arrival does not matter", prop.ForAll(func(mbrs []cardamompass.Member, num int64) bool {
 		one, two := newMachine(1), newMachine(2)
-		one.Apply(member.PingArrived{
+		one.Apply(member.PingReceived{
 			Now:     start,
 			Message: news(mbrs...),
 		})
 		for _, idx := range rand.New(rand.NewSource(num)).Perm(len(mbrs)) {
-			two.Apply(member.PingArrived{
+			two.Apply(member.PingReceived{
 				Now:     start,
 				Message: news(mbrs[idx], mbrs[idx]),
 			})
 		}
-		two.Apply(member.PingArrived{
+		two.Apply(member.PingReceived{
 			Now:     start,
 			Message: news(),
 		})
@@ -116,7 +116,7 @@
 		for _, mbr := range mbrs {
 			now = now.Add(time.Duration(rng.Intn(1500)) * time.Millisecond)
 			evts := []member.Event{
-				member.PingArrived{
+				member.PingReceived{
 					Now:     now,
 					Message: news(mbr),
 				},
@@ -126,10 +126,10 @@
 			}
 			if len(probes) > 0 {
 				pid := probes[rng.Intn(len(probes))]
-				evts = append(evts, member.Missed{
+				evts = append(evts, member.ProbeFailed{
 					Now:   now,
 					Probe: pid,
-				}, member.Answered{
+				}, member.ProbeAnswered{
 					Now:     now,
 					Probe:   pid,
 					Message: news(mbr),
@@ -162,7 +162,7 @@
 		if mbr.State == cardamompass.StateLeft {
 			return true
 		}
-		for _, eff := range mch.Apply(member.PingArrived{
+		for _, eff := range mch.Apply(member.PingReceived{
 			Now:     start,
 			Message: news(mbr),
 		}) {
@@ -191,7 +191,7 @@
 	}
 	sent := 0
 	for range 10_000 {
-		for _, eff := range mch.Apply(member.PingArrived{
+		for _, eff := range mch.Apply(member.PingReceived{
 			Now:     start,
 			Message: news(mbrs...),
 		}) {
--- a/internal/fleet/member/merge.go
+++ b/internal/fleet/member/merge.go
@@ -54,7 +54,7 @@
 	rec.deadline = time.Time{}
 	delete(mch.suspect, vid)
 	if mbr.State == cardamompass.StateSuspect {
-		rec.deadline = now.Add(mch.cfg.Suspicion)
+		rec.deadline = now.Add(mch.cfg.SuspicionTimeout)
 		mch.suspect[vid] = rec
 	}
 	mch.digest ^= viewHash(mbr)
--- a/internal/fleet/member/probe.go
+++ b/internal/fleet/member/probe.go
@@ -83,7 +83,7 @@
 	})
 }
 
-func (mch *Machine) answered(evt Answered, now time.Time) {
+func (mch *Machine) answered(evt ProbeAnswered, now time.Time) {
 	prb := mch.probes[evt.Probe]
 	if prb == nil {
 		return
@@ -145,7 +145,7 @@
 		mch.set(rec, rec.mbr.WithState(cardamompass.StateSuspect), now, now, true)
 	case cardamompass.StateLeaving:
 		if rec.deadline.IsZero() {
-			rec.deadline = now.Add(mch.cfg.Suspicion)
+			rec.deadline = now.Add(mch.cfg.SuspicionTimeout)
 			mch.suspect[prb.target] = rec
 		}
 	default:
@@ -323,7 +323,7 @@
 	}
 }
 
-func (mch *Machine) leave(evt LeaveAsked, now time.Time) {
+func (mch *Machine) leave(evt LeaveRequested, now time.Time) {
 	if mch.self.State == cardamompass.StateLeft {
 		return
 	}
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -176,7 +176,7 @@
 		}
 		flt.advance(10 * time.Minute)
 		flt.expect("without seeds", 4, -1, 3)
-		flt.host(3).mbr.Hint([]cardamompass.ListedVM{
+		flt.host(3).mbr.ProbeListed([]cardamompass.ListedVM{
 			{
 				Name:    string(vid(4)),
 				Address: address(4),
@@ -187,7 +187,7 @@
 		flt.start(1, 1)
 		flt.advance(time.Minute)
 		flt.expectAll("after a seed started", 1, 3, 4, 5, 6, 7)
-		flt.host(3).mbr.Hint(nil)
+		flt.host(3).mbr.ProbeListed(nil)
 		flt.advance(joinTime)
 		flt.expectAll("after an empty list", 1, 3, 4, 5, 6, 7)
 	})
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -212,7 +212,7 @@
 	if err != nil {
 		flt.t.Fatal(err)
 	}
-	mbr.Attach(spr.Carrier())
+	mbr.Attach(spr.PayloadHandler())
 	hst.mbr, hst.spr = mbr, spr
 	hst.stop = func() {
 		flt.net.mut.Lock()
--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -18,10 +18,10 @@
 	DefaultDialTimeout = time.Second
 	// DefaultCallTimeout applies to calls whose context has no deadline.
 	DefaultCallTimeout = 5 * time.Second
-	// DefaultClientIdle exceeds the 215 s between two probes of the same member at 430 VMs, so that probes find open
+	// DefaultClientIdleTimeout exceeds the 215 s between two probes of the same member at 430 VMs, so that probes find open
 	// connections. A new connection costs about 1.1 KB and 0.7 ms of CPU at both ends together, an open one 50 KB of
 	// memory.
-	DefaultClientIdle = 4 * time.Minute
+	DefaultClientIdleTimeout = 4 * time.Minute
 )
 
 var errClosed = errors.New("client is closed")
@@ -38,8 +38,8 @@
 	DialTimeout time.Duration
 	// CallTimeout bounds calls whose context has no deadline. Optional.
 	CallTimeout time.Duration
-	// Idle is the time without a call after which a connection is closed. Optional.
-	Idle time.Duration
+	// IdleTimeout is the time without a call after which a connection is closed. Optional.
+	IdleTimeout time.Duration
 	// MaxMessageBytes bounds a message in each direction. Optional.
 	MaxMessageBytes int
 }
@@ -57,8 +57,8 @@
 	if cfg.CallTimeout == 0 {
 		cfg.CallTimeout = DefaultCallTimeout
 	}
-	if cfg.Idle == 0 {
-		cfg.Idle = DefaultClientIdle
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultClientIdleTimeout
 	}
 	if cfg.MaxMessageBytes == 0 {
 		cfg.MaxMessageBytes = DefaultMaxMessageBytes
@@ -261,7 +261,7 @@
 // closeIdle closes connections without calls until the client is stopped.
 func (cli *Client) closeIdle() {
 	for {
-		tmr := cli.cfg.Clock.NewTimer(cli.cfg.Idle / 4)
+		tmr := cli.cfg.Clock.NewTimer(cli.cfg.IdleTimeout / 4)
 		select {
 		case <-tmr.C():
 		case <-cli.end:
@@ -279,7 +279,7 @@
 	cli.mut.Lock()
 	defer cli.mut.Unlock()
 	for _, cnn := range cli.conns {
-		if cnn.idleFor(now) >= cli.cfg.Idle {
+		if cnn.idleFor(now) >= cli.cfg.IdleTimeout {
 			cnns = append(cnns, cnn)
 		}
 	}
--- a/internal/fleet/peer/dispatch.go
+++ b/internal/fleet/peer/dispatch.go
@@ -146,7 +146,7 @@
 	if scd.broken != nil {
 		return scd.broken
 	}
-	if err = scd.con.SetReadDeadline(time.Now().Add(scd.srv.cfg.Idle)); err != nil {
+	if err = scd.con.SetReadDeadline(time.Now().Add(scd.srv.cfg.IdleTimeout)); err != nil {
 		return scd.fail(err)
 	}
 	if err = scd.frd.next(); err != nil {
@@ -243,7 +243,7 @@
 			return scd.abort(err)
 		}
 	}
-	if err = scd.con.SetWriteDeadline(time.Now().Add(scd.srv.cfg.Idle)); err != nil {
+	if err = scd.con.SetWriteDeadline(time.Now().Add(scd.srv.cfg.IdleTimeout)); err != nil {
 		return scd.abort(err)
 	}
 	if _, err = scd.fwr.flush(); err != nil {
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -237,7 +237,7 @@
 func TestRetired(t *testing.T) {
 	srv, ech := start(t, peer.ServerConfig{})
 	cli := client(t, peer.ClientConfig{
-		Idle: 20 * time.Millisecond,
+		IdleTimeout: 20 * time.Millisecond,
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -22,8 +22,8 @@
 	DefaultMaxCalls = 256
 	// DefaultHandshakeTimeout is several round trips between the regions that are farthest apart.
 	DefaultHandshakeTimeout = 2 * time.Second
-	// DefaultServerIdle exceeds DefaultClientIdle, so that the client closes first and no call meets a closing server.
-	DefaultServerIdle = 2 * DefaultClientIdle
+	// DefaultServerIdleTimeout exceeds DefaultClientIdle, so that the client closes first and no call meets a closing server.
+	DefaultServerIdleTimeout = 2 * DefaultClientIdleTimeout
 )
 
 // ServerConfig configures a Server. Zero values of optional fields take the defaults of this package.
@@ -44,8 +44,8 @@
 	MaxMessageBytes int
 	// HandshakeTimeout bounds the handshake. Optional.
 	HandshakeTimeout time.Duration
-	// Idle is the time without a call after which a connection is closed. Optional.
-	Idle time.Duration
+	// IdleTimeout is the time without a call after which a connection is closed. Optional.
+	IdleTimeout time.Duration
 }
 
 // Server answers calls of other entry VMs. It is safe for concurrent use.
@@ -117,8 +117,8 @@
 	if cfg.HandshakeTimeout == 0 {
 		cfg.HandshakeTimeout = DefaultHandshakeTimeout
 	}
-	if cfg.Idle == 0 {
-		cfg.Idle = DefaultServerIdle
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultServerIdleTimeout
 	}
 	return cfg
 }
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -278,7 +278,7 @@
 func (nod *node) count(to *node, val any, payload int) {
 	size := nod.sim.wire.measure(val)
 	fresh := 0
-	if nod.sim.now.Sub(nod.last[to.num]) > peer.DefaultClientIdle {
+	if nod.sim.now.Sub(nod.last[to.num]) > peer.DefaultClientIdleTimeout {
 		fresh = nod.sim.wire.connection
 	}
 	nod.last[to.num] = nod.sim.now
--- a/internal/fleet/simnode_test.go
+++ b/internal/fleet/simnode_test.go
@@ -82,7 +82,7 @@
 func (nod *node) consume(msg member.Message) {
 	for _, pld := range msg.Payloads {
 		if sum, ok := spread.ParseSummary(pld.Data); ok {
-			nod.spread(spread.SummaryArrived{
+			nod.spread(spread.SummaryReceived{
 				Now:     nod.sim.now,
 				From:    msg.From.VM.ID,
 				Summary: sum,
@@ -102,14 +102,14 @@
 	var reply member.Message
 	nod.call(to, png.Timeout, func() {
 		to.calls++
-		reply, _ = to.member(member.PingArrived{
+		reply, _ = to.member(member.PingReceived{
 			Now:     sml.now,
 			Message: msg,
 		})
 		to.consume(msg)
 		to.count(nod, reply, nod.payload())
 	}, func() {
-		nod.member(member.Answered{
+		nod.member(member.ProbeAnswered{
 			Now:     sml.now,
 			Probe:   png.Probe,
 			Message: reply,
@@ -117,7 +117,7 @@
 		nod.consume(reply)
 		done(true, reply.From)
 	}, func() {
-		nod.member(member.Missed{
+		nod.member(member.ProbeFailed{
 			Now:   sml.now,
 			Probe: png.Probe,
 		})
@@ -140,7 +140,7 @@
 	}
 	// The answer follows the relay's own probe, so it is sent as a second call.
 	nod.call(to, req.Timeout, func() {
-		reply, pings := to.member(member.RelayArrived{
+		reply, pings := to.member(member.RelayReceived{
 			Now:     sml.now,
 			Request: args,
 		})
@@ -154,7 +154,7 @@
 					Member: from,
 				})
 				sml.after(sml.travel(), func() {
-					finish(member.Answered{
+					finish(member.ProbeAnswered{
 						Now:     sml.now,
 						Probe:   req.Probe,
 						Message: reply,
@@ -164,7 +164,7 @@
 		}
 	}, func() {}, func() {})
 	sml.after(req.Timeout, func() {
-		finish(member.Missed{
+		finish(member.ProbeFailed{
 			Now:   sml.now,
 			Probe: req.Probe,
 		})
@@ -217,13 +217,13 @@
 	nod.countSpread(to, eff.Request)
 	var reply spread.PushReply
 	nod.call(to, 2*time.Second, func() {
-		reply, _ = to.spread(spread.PushArrived{
+		reply, _ = to.spread(spread.PushReceived{
 			Now:     sml.now,
 			Request: eff.Request,
 		})
 		to.countSpread(nod, reply)
 	}, func() {
-		nod.spread(spread.SummaryArrived{
+		nod.spread(spread.SummaryReceived{
 			Now:     sml.now,
 			From:    eff.To,
 			Summary: reply.Summary,
@@ -236,12 +236,12 @@
 	to := sml.byID(eff.To)
 	nod.countSpread(to, eff.Request)
 	var reply spread.PullReply
-	evt := spread.Pulled{
+	evt := spread.PullDone{
 		From: eff.To,
 		Full: eff.Request.Full,
 	}
 	nod.call(to, 5*time.Second, func() {
-		_, reply = to.spread(spread.PullArrived{
+		_, reply = to.spread(spread.PullReceived{
 			Now:     sml.now,
 			Request: eff.Request,
 		})
@@ -287,7 +287,7 @@
 }
 
 func (sst *simStore) answer(nod *node, call uint64) {
-	nod.spread(spread.Read{
+	nod.spread(spread.ReadDone{
 		Now:     nod.sim.now,
 		Call:    call,
 		Value:   sst.val,
--- a/internal/fleet/spread/agent.go
+++ b/internal/fleet/spread/agent.go
@@ -143,9 +143,9 @@
 	})
 }
 
-// Carrier returns the payload for the membership's probes.
-func (agt *Agent[D]) Carrier() member.Carrier {
-	return member.Carrier{
+// PayloadHandler returns the payload for the membership's probes.
+func (agt *Agent[D]) PayloadHandler() member.PayloadHandler {
+	return member.PayloadHandler{
 		Name:    payloadName,
 		Produce: func() []byte { return agt.summary.Load().Bytes() },
 		Consume: func(from cardamompass.Member, data []byte) {
@@ -153,7 +153,7 @@
 			if !ok || sum == *agt.summary.Load() {
 				return
 			}
-			agt.handle(SummaryArrived{
+			agt.handle(SummaryReceived{
 				Now:     agt.cfg.Clock.Now(),
 				From:    from.VM.ID,
 				Summary: sum,
@@ -311,7 +311,7 @@
 
 func (agt *Agent[D]) read(call uint64, val cardamompass.Value, err error) {
 	var missing *cardamompass.NotFoundError
-	evt := Read{
+	evt := ReadDone{
 		Now:     agt.cfg.Clock.Now(),
 		Call:    call,
 		Value:   val,
@@ -334,7 +334,7 @@
 	} else {
 		agt.cfg.Logger.Info("document-written-back", zap.Int64("revision", val.Revision))
 	}
-	agt.handle(Written{
+	agt.handle(WriteDone{
 		Now:      agt.cfg.Clock.Now(),
 		Digest:   eff.Digest,
 		Revision: val.Revision,
--- a/internal/fleet/spread/calls.go
+++ b/internal/fleet/spread/calls.go
@@ -29,7 +29,7 @@
 }
 
 func (agt *Agent[D]) pushed(args PushRequest) (rep PushReply) {
-	effects := agt.handle(PushArrived{
+	effects := agt.handle(PushReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Request: args,
 	})
@@ -42,7 +42,7 @@
 }
 
 func (agt *Agent[D]) pulled(args PullRequest) (rep PullReply) {
-	effects := agt.handle(PullArrived{
+	effects := agt.handle(PullReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Request: args,
 	})
@@ -63,7 +63,7 @@
 		agt.cfg.Logger.Debug("push-failed", zap.String("to", string(eff.To)), zap.Error(err))
 		return
 	}
-	agt.handle(SummaryArrived{
+	agt.handle(SummaryReceived{
 		Now:     agt.cfg.Clock.Now(),
 		From:    eff.To,
 		Summary: reply.Summary,
@@ -73,7 +73,7 @@
 func (agt *Agent[D]) pull(eff Pull, address string) {
 	ctx, cancel := agt.callCtx(pullTimeout)
 	defer cancel()
-	evt := Pulled{
+	evt := PullDone{
 		From: eff.To,
 		Full: eff.Request.Full,
 	}
--- a/internal/fleet/spread/core.go
+++ b/internal/fleet/spread/core.go
@@ -141,19 +141,19 @@
 		cor.peersChanged(evt)
 	case Offered[D]:
 		cor.learn(evt.Doc)
-	case PushArrived:
+	case PushReceived:
 		cor.pushed(evt, now)
-	case PullArrived:
+	case PullReceived:
 		cor.emit(PullAnswer{
 			Reply: cor.answer(evt.Request),
 		})
-	case SummaryArrived:
+	case SummaryReceived:
 		cor.compare(evt.From, evt.Summary, now)
-	case Pulled:
+	case PullDone:
 		cor.pulled(evt, now)
-	case Read:
+	case ReadDone:
 		cor.read(evt, now)
-	case Written:
+	case WriteDone:
 		cor.written(evt, now)
 	}
 	effects, cor.effects = cor.effects, nil
@@ -217,7 +217,7 @@
 	}
 }
 
-func (cor *Core[D]) pushed(evt PushArrived, now time.Time) {
+func (cor *Core[D]) pushed(evt PushReceived, now time.Time) {
 	req := evt.Request
 	if len(req.Data) > 0 && cor.sum.Version > 0 && cor.sum.Version >= req.Base && cor.sum != req.Summary {
 		cor.decode("push", req.Data)
@@ -296,7 +296,7 @@
 	return cor.encoded, err
 }
 
-func (cor *Core[D]) pulled(evt Pulled, now time.Time) {
+func (cor *Core[D]) pulled(evt PullDone, now time.Time) {
 	cor.pulling = time.Time{}
 	rep := evt.Reply
 	if rep == nil || len(rep.Data) == 0 {
@@ -329,7 +329,7 @@
 		for _, vid := range peers {
 			names = append(names, string(vid))
 		}
-		cor.rank = slices.Index(First(cor.cfg.Key, names, cor.cfg.Watchers), string(cor.cfg.Self))
+		cor.rank = slices.Index(TopRanked(cor.cfg.Key, names, cor.cfg.Watchers), string(cor.cfg.Self))
 	}
 	if before >= 0 && cor.rank < 0 {
 		cor.src.stop()
@@ -337,8 +337,8 @@
 	}
 }
 
-// First returns the first cnt names in the rendezvous order of key.
-func First(key string, names []string, cnt int) (first []string) {
+// TopRanked returns the first cnt names in the rendezvous order of key.
+func TopRanked(key string, names []string, cnt int) (first []string) {
 	rest := slices.Clone(names)
 	for range min(cnt, len(names)) {
 		// A new table each time, because the library's Remove panics for the last name of its table.
--- a/internal/fleet/spread/event.go
+++ b/internal/fleet/spread/event.go
@@ -33,24 +33,24 @@
 	Doc D
 }
 
-// PushArrived is a push from a peer. It has a PushAnswer effect.
-type PushArrived struct {
+// PushReceived is a push from a peer. It has a PushAnswer effect.
+type PushReceived struct {
 	// Now is the current time.
 	Now time.Time
 	// Request is the push.
 	Request PushRequest
 }
 
-// PullArrived is a pull from a peer. It has a PullAnswer effect.
-type PullArrived struct {
+// PullReceived is a pull from a peer. It has a PullAnswer effect.
+type PullReceived struct {
 	// Now is the current time.
 	Now time.Time
 	// Request is the pull.
 	Request PullRequest
 }
 
-// SummaryArrived is the summary of a peer's document.
-type SummaryArrived struct {
+// SummaryReceived is the summary of a peer's document.
+type SummaryReceived struct {
 	// Now is the current time.
 	Now time.Time
 	// From is the peer.
@@ -59,8 +59,8 @@
 	Summary Summary
 }
 
-// Pulled is the end of a Pull.
-type Pulled struct {
+// PullDone is the end of a Pull.
+type PullDone struct {
 	// Now is the current time.
 	Now time.Time
 	// From is the peer.
@@ -71,8 +71,8 @@
 	Reply *PullReply
 }
 
-// Read is the end of a Watch or Get.
-type Read struct {
+// ReadDone is the end of a Watch or Get.
+type ReadDone struct {
 	// Now is the current time.
 	Now time.Time
 	// Call is the number in the effect.
@@ -85,8 +85,8 @@
 	Failed bool
 }
 
-// Written is the end of a Put.
-type Written struct {
+// WriteDone is the end of a Put.
+type WriteDone struct {
 	// Now is the current time.
 	Now time.Time
 	// Digest is the digest of the document that was to be written.
@@ -95,15 +95,15 @@
 	Revision int64
 }
 
-func (evt Tick) at() time.Time           { return evt.Now }
-func (evt PeersChanged) at() time.Time   { return evt.Now }
-func (evt Offered[D]) at() time.Time     { return evt.Now }
-func (evt PushArrived) at() time.Time    { return evt.Now }
-func (evt PullArrived) at() time.Time    { return evt.Now }
-func (evt SummaryArrived) at() time.Time { return evt.Now }
-func (evt Pulled) at() time.Time         { return evt.Now }
-func (evt Read) at() time.Time           { return evt.Now }
-func (evt Written) at() time.Time        { return evt.Now }
+func (evt Tick) at() time.Time            { return evt.Now }
+func (evt PeersChanged) at() time.Time    { return evt.Now }
+func (evt Offered[D]) at() time.Time      { return evt.Now }
+func (evt PushReceived) at() time.Time    { return evt.Now }
+func (evt PullReceived) at() time.Time    { return evt.Now }
+func (evt SummaryReceived) at() time.Time { return evt.Now }
+func (evt PullDone) at() time.Time        { return evt.Now }
+func (evt ReadDone) at() time.Time        { return evt.Now }
+func (evt WriteDone) at() time.Time       { return evt.Now }
 
 // Effect is an output of Core.Apply.
 type Effect interface{ effect() }
--- a/internal/fleet/spread/source.go
+++ b/internal/fleet/spread/source.go
@@ -96,7 +96,7 @@
 
 // read takes the answer to a watch or get. The content counts even when the call has been given up meanwhile, because
 // a merge never moves back; the revision counts only for the running watch.
-func (cor *Core[D]) read(evt Read, now time.Time) {
+func (cor *Core[D]) read(evt ReadDone, now time.Time) {
 	src := &cor.src
 	watch := evt.Call == src.watch
 	switch {
@@ -210,7 +210,7 @@
 
 // written takes the end of a write. After a failure the next answer of the watch tells whether the store still holds
 // less.
-func (cor *Core[D]) written(evt Written, now time.Time) {
+func (cor *Core[D]) written(evt WriteDone, now time.Time) {
 	src := &cor.src
 	src.writing = false
 	if src.known && evt.Revision > src.revision {
--- a/internal/proof/edit_test.go
+++ b/internal/proof/edit_test.go
@@ -171,7 +171,7 @@
 			names = append(names, string(vmp.Place.ID))
 		}
 	}
-	first := spread.First(entry.CatalogueKey, names, spread.DefaultWatchers)
+	first := spread.TopRanked(entry.CatalogueKey, names, spread.DefaultWatchers)
 	for _, vmp := range eds.sit.VMs {
 		if slices.Contains(first, string(vmp.Place.ID)) {
 			list = append(list, vmp)
