--- a/internal/edge/engine/attempt.go
+++ b/internal/edge/engine/attempt.go
@@ -118,7 +118,7 @@
 	eng := rqt.eng
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
-	if eng.cfg.Relay.Probe(ctx, clm.target) != relay.ReachRefused {
+	if eng.cfg.Relay.Probe(ctx, clm.target) != relay.ProbeRefused {
 		eng.cfg.Guard.Ended(rqt.key, clm.target.ID, broke)
 		return
 	}
--- a/internal/edge/front/bench_test.go
+++ b/internal/edge/front/bench_test.go
@@ -21,7 +21,7 @@
 	"cardamompass/platform"
 )
 
-// BenchmarkRequest measures a request with its caller and its target in the same process, with and without log lines.
+// BenchmarkRequest measures a request including its caller and its target, which run in the same process, with and without logging.
 func BenchmarkRequest(b *testing.B) {
 	quiet := zap.NewNop()
 	loud, _, err := logkv.New(logkv.Config{
@@ -73,9 +73,9 @@
 		Balancer: brd,
 		Sender:   snd,
 		View:     func() *view.View { return vew },
-		Age:      func() time.Duration { return 0 },
-		Stated:   func(cardamompass.InstanceID, cardamompass.Load) {},
-		Crashed:  func(cardamompass.Crash) {},
+		StoreAge: func() time.Duration { return 0 },
+		OnLoad:   func(cardamompass.InstanceID, cardamompass.Load) {},
+		OnCrash:  func(cardamompass.Crash) {},
 		Dial:     send.Dialer(time.Second),
 	})
 	defer stopFront()
--- a/internal/edge/front/crash.go
+++ b/internal/edge/front/crash.go
@@ -15,64 +15,66 @@
 )
 
 const (
-	// crashLimit is the number of crashed instances after which a content is refused. One or two crashes can be chance: other requests
-	// are in flight at an instance that crashes.
+	// crashLimit is the number of crashed instances after which a content is refused. One or two crashes can be coincidence,
+	// because other requests are in flight at an instance that crashes.
 	crashLimit = 3
-	// crashCheckDelay is the time after which a target whose connection broke is asked whether it still listens.
+	// crashCheckDelay is the time between the break of a connection and the check whether the target still listens.
 	crashCheckDelay = 20 * time.Millisecond
-	// crashCheckLimit bounds that question.
-	crashCheckLimit = 300 * time.Millisecond
-	// maxCleared bounds the contents that are known to be harmless.
-	maxCleared = 10000
+	// crashCheckTimeout bounds the connection attempt of that check.
+	crashCheckTimeout = 300 * time.Millisecond
+	// maxHarmless bounds the number of fingerprints in Front.harmless.
+	maxHarmless = 10000
 )
 
-// fingerprint identifies the content of a request: a caller that sends it again uses another request id.
+// fingerprint identifies the content of a request. The request id is not part of it, because a caller that sends the same content
+// again uses another id.
 func fingerprint(req *http.Request, inc cardamompass.RequestInfo, body []byte) (text string) {
 	dgs := xxhash.New()
-	for _, part := range []string{req.Method, req.Host, req.RequestURI, inc.AffinityKey} {
-		_, _ = dgs.WriteString(part + "\x00") // a digest does not fail
+	for _, field := range []string{req.Method, req.Host, req.RequestURI, inc.AffinityKey} {
+		_, _ = dgs.WriteString(field + "\x00") // Digest.WriteString never fails
 	}
 	_, _ = dgs.Write(body)
 	return hex.EncodeToString(dgs.Sum(nil))
 }
 
-// crashing reports whether requests with a content are refused, because it crashed several instances and was never answered since.
-func (frt *Front) crashing(vew *view.View, content string) (ok bool) {
+// blocked reports whether requests with this content are refused: it crashed at least crashLimit instances and no target has
+// answered it since.
+func (frt *Front) blocked(vew *view.View, content string) (ok bool) {
 	if vew.Crashes(content) < crashLimit {
 		return false
 	}
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
-	return !frt.cleared[content]
+	return !frt.harmless[content]
 }
 
-// clear notes that a content was answered and is harmless.
-func (frt *Front) clear(vew *view.View, content string) {
+// markHarmless records that a target answered a content that is known to have crashed instances.
+func (frt *Front) markHarmless(vew *view.View, content string) {
 	if vew.Crashes(content) == 0 {
 		return
 	}
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
-	if len(frt.cleared) >= maxCleared {
-		clear(frt.cleared)
+	if len(frt.harmless) >= maxHarmless {
+		clear(frt.harmless)
 	}
-	frt.cleared[content] = true
+	frt.harmless[content] = true
 }
 
-// checkCrash finds out whether an instance crashed: nothing listens at its address after the connection broke.
+// checkCrash reports a crash if nothing listens any more at the address of an instance whose connection broke. It does not block.
 func (frt *Front) checkCrash(ins cardamompass.Instance, content string) {
-	frt.checks.Go(func() {
+	frt.crashChecks.Go(func() {
 		tmr := frt.cfg.Clock.NewTimer(crashCheckDelay)
 		<-tmr.C()
-		ctx, cancel := context.WithTimeout(context.Background(), crashCheckLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 		defer cancel()
 		con, err := frt.cfg.Dial(ctx, "tcp", ins.Address)
 		if err == nil {
-			_ = con.Close() // only opened to see that the target listens
+			_ = con.Close() // only opened to check that the target listens
 			return
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			frt.cfg.Crashed(cardamompass.Crash{
+			frt.cfg.OnCrash(cardamompass.Crash{
 				Fingerprint: content,
 				Instance:    ins.ID,
 			})
--- a/internal/edge/front/left_test.go
+++ b/internal/edge/front/disconnect_test.go
@@ -12,11 +12,11 @@
 	"cardamompass/internal/edge/front"
 )
 
-// Guards against requests that are sent to targets although their callers left before a busy VM read them:
-// 'compaction-evacuation-cold --vary --seed 449270980358' on martban-net-grown broke GONE with 7 such requests.
+// Guards against sending the requests of callers that disconnected before a busy VM read them. The run 'compaction-evacuation-cold
+// --vary --seed 449270980358' on martban-net-grown broke the rule GONE with 7 such requests.
 func TestCallersThatLeftBeforeTheirRequestWasRead(t *testing.T) {
 	const callers = 60
-	sit := newSite(t, 3)
+	fxt := newFixture(t, 3)
 	var cfg net.ListenConfig
 	lsn, err := cfg.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,19 +35,19 @@
 		con.Close()
 	}
 	srv := &http.Server{
-		Handler:           sit.front,
+		Handler:           fxt.front,
 		ConnContext:       front.ConnContext,
 		ReadHeaderTimeout: time.Second,
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(lsn) }() // only now, as a VM that was busy does
+	go func() { ended <- srv.Serve(lsn) }() // starts after the callers have disconnected, like a VM that was busy
 	t.Cleanup(func() {
 		srv.Close()
 		<-ended
 	})
 	time.Sleep(500 * time.Millisecond)
-	if runs := sit.runs(); runs > 0 {
-		t.Fatalf("%d of %d requests ran after their callers had left", runs, callers)
+	if runs := fxt.runs(); runs > 0 {
+		t.Fatalf("%d of %d requests ran after their callers had disconnected", runs, callers)
 	}
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+lsn.Addr().String()+"/read/a", http.NoBody)
 	if err != nil {
@@ -57,7 +57,7 @@
 	req.Header.Set("Request-Id", "r-stays")
 	rsp, err := http.DefaultClient.Do(req)
 	if err != nil || rsp.StatusCode != http.StatusOK || !strings.HasPrefix(rsp.Proto, "HTTP/1.1") {
-		t.Fatalf("a caller that stays got %v, error %v", rsp, err)
+		t.Fatalf("a caller that stays connected got %v, error %v", rsp, err)
 	}
 	rsp.Body.Close()
 }
--- /dev/null
+++ b/internal/edge/front/dispatch.go
@@ -0,0 +1,251 @@
+package front
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"cardamompass"
+	"cardamompass/internal/edge/send"
+	"cardamompass/internal/steer/place"
+)
+
+const (
+	// maxUnsentAttempts bounds the attempts of one request that end before anything is sent: targets that can't be reached or whose
+	// address has another instance.
+	maxUnsentAttempts = 3
+	// minRetryTime is the least remaining time for which a request is retried or hedged.
+	minRetryTime = 50 * time.Millisecond
+)
+
+// dispatch sends one request to one target after the other, or to two at a time when the first is hedged.
+type dispatch struct {
+	exc          *exchange
+	msg          send.Message
+	affinityHash uint64
+	// fingerprint identifies the content of the request.
+	fingerprint string
+	tried       []cardamompass.InstanceID
+	sent        int // attempts that reached a target
+	unsent      int // attempts that ended before they reached a target
+	// mayHaveRun is set once a target may have run the request.
+	mayHaveRun bool
+	fallback   *send.Reply // error response of a target, used when no better response comes
+}
+
+// attempt is one sending of the request to one target.
+type attempt struct {
+	chc    place.Choice
+	cancel context.CancelFunc
+	rep    send.Reply
+	err    error
+	start  time.Time
+}
+
+// run returns the response to the request. After an error mayHaveRun tells whether the request may have run.
+func (dsp *dispatch) run(ctx context.Context) (rep send.Reply, err error) {
+	results := make(chan *attempt, 2*maxUnsentAttempts+dsp.exc.route.MaxTargets)
+	inFlight := make(map[*attempt]bool)
+	defer func() {
+		for atm := range inFlight {
+			atm.cancel()
+		}
+	}()
+	launch := func(hedge bool) (err error) {
+		atm, err := dsp.launch(ctx, results, hedge)
+		if err == nil {
+			inFlight[atm] = true
+		}
+		return err
+	}
+	if err = launch(false); err != nil {
+		return rep, err
+	}
+	hedge := dsp.exc.frt.cfg.Clock.NewTimer(dsp.hedgeDelay())
+	defer hedge.Stop()
+	for {
+		select {
+		case atm := <-results:
+			delete(inFlight, atm)
+			done := dsp.handleResult(atm)
+			if done {
+				return atm.rep, nil
+			}
+			if len(inFlight) > 0 {
+				continue
+			}
+			if !dsp.mayRetry(ctx) || launch(false) != nil {
+				return dsp.finalResult(atm)
+			}
+		case <-hedge.C():
+			if dsp.mayHedge() {
+				_ = launch(true) // if no second target can be used, the first attempt goes on alone
+			}
+		case <-ctx.Done():
+			return rep, &send.Failure{
+				Kind: send.KindCancelled,
+				Err:  ctx.Err(),
+			}
+		}
+	}
+}
+
+// finalResult returns the result when no further attempt is made: an error response of a target if there is one, else the error of
+// the last attempt.
+func (dsp *dispatch) finalResult(atm *attempt) (rep send.Reply, err error) {
+	if dsp.fallback != nil {
+		return *dsp.fallback, nil
+	}
+	return rep, atm.err
+}
+
+// launch chooses a target and starts an attempt. Retries and hedges are taken from the retry budget, but only once a target is
+// found, so that requests without a usable target don't use up the budget.
+func (dsp *dispatch) launch(ctx context.Context, results chan<- *attempt, hedge bool) (atm *attempt, err error) {
+	if callerDisconnected(dsp.exc.req.Context()) {
+		return nil, errCallerDisconnected
+	}
+	frt := dsp.exc.frt
+	now := frt.cfg.Clock.Now()
+	chc, ok := frt.cfg.Balancer.Choose(place.Query{
+		Service:      dsp.exc.service,
+		AffinityHash: dsp.affinityHash,
+		Route:        dsp.exc.route,
+		Tried:        dsp.tried,
+		MaxLoad:      maxLoad(dsp.exc.vew.Table, dsp.exc.route),
+		Hedge:        hedge,
+		Now:          now,
+	})
+	if !ok {
+		return nil, errors.Errorf("no target of %s can be used: %+v", dsp.exc.service, chc.Rejected)
+	}
+	if (hedge || dsp.sent > 0) && !frt.retryBudget(dsp.exc.service).TakeExtra(now) {
+		dsp.exc.log.Info("repeat not allowed", zap.Bool("second", hedge), zap.String("reason", "budget"))
+		return nil, errors.New("retry budget exhausted")
+	}
+	frt.cfg.Balancer.RecordSent(chc.Instance.ID, now)
+	dsp.tried = append(dsp.tried, chc.Instance.ID)
+	sctx, cancel := context.WithDeadline(ctx, dsp.msg.Deadline)
+	atm = &attempt{
+		chc:    chc,
+		cancel: cancel,
+		start:  now,
+	}
+	dsp.exc.log.Info("request sent", zap.Bool("second", hedge), zap.String("target", string(chc.Instance.ID)), zap.Int("rank", chc.Rank),
+		zap.Float64("expected", chc.Expected), zap.Float64("load", chc.Load), zap.Duration("load-age", chc.LoadAge),
+		zap.Bool("warm", chc.Warm), zap.Bool("cold", chc.Cold), zap.Inline(chc.Rejected))
+	go func() {
+		defer cancel()
+		atm.rep, atm.err = frt.cfg.Sender.Do(sctx, chc.Instance, dsp.msg)
+		frt.reportAttempt(dsp.affinityHash, atm)
+		results <- atm
+	}()
+	return atm, nil
+}
+
+// handleResult processes the end of an attempt and reports whether its response goes to the caller.
+func (dsp *dispatch) handleResult(atm *attempt) (done bool) {
+	var fai *send.Failure
+	if atm.err == nil {
+		dsp.sent++
+		dsp.mayHaveRun = true
+		dsp.exc.frt.markHarmless(dsp.exc.vew, dsp.fingerprint)
+		dsp.exc.frt.medianLatency(dsp.exc.route, dsp.exc.frt.cfg.Clock.Now().Sub(atm.start))
+		if atm.rep.Status < http.StatusInternalServerError && !impliesNotRun(atm.rep.Status) {
+			return true
+		}
+		if !impliesNotRun(atm.rep.Status) {
+			dsp.fallback = &atm.rep
+		}
+		atm.err = &send.Failure{
+			Kind:           send.KindBroken,
+			HeaderReceived: true,
+			Err:            errors.Errorf("target responded with status %d", atm.rep.Status),
+		}
+		return false
+	}
+	errors.As(atm.err, &fai)
+	dsp.exc.log.Info("attempt failed", zap.String("target", string(atm.chc.Instance.ID)), zap.String("kind", string(fai.Kind)),
+		zap.Bool("not-run", fai.NotRun), zap.Error(fai.Err), zap.Duration("took", dsp.exc.frt.cfg.Clock.Now().Sub(atm.start)))
+	if fai.NotRun && !fai.HeaderReceived {
+		dsp.unsent++
+		return false
+	}
+	dsp.sent++
+	dsp.mayHaveRun = dsp.mayHaveRun || !fai.NotRun
+	if fai.Kind == send.KindBroken && !fai.HeaderReceived {
+		dsp.exc.frt.checkCrash(atm.chc.Instance, dsp.fingerprint)
+	}
+	return false
+}
+
+// impliesNotRun reports whether callers take a status to mean that the request has not run. A target that means it says so in a
+// header, and send reports such a response as a Failure.
+func impliesNotRun(status int) (ok bool) {
+	switch status {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		return true
+	default:
+		return false
+	}
+}
+
+// mayRetry reports whether the request may be retried after a failed attempt.
+func (dsp *dispatch) mayRetry(ctx context.Context) (ok bool) {
+	switch {
+	case ctx.Err() != nil || !dsp.hasTime():
+		return false
+	case dsp.mayHaveRun && !dsp.exc.route.Idempotent:
+		return false
+	default:
+		return dsp.unsent < maxUnsentAttempts && dsp.sent < dsp.exc.route.MaxTargets
+	}
+}
+
+// hasTime reports whether enough time is left for another attempt.
+func (dsp *dispatch) hasTime() (ok bool) {
+	return dsp.msg.Deadline.Sub(dsp.exc.frt.cfg.Clock.Now()) >= minRetryTime
+}
+
+// reportAttempt reports the result of an attempt to the balancer and the metrics.
+func (frt *Front) reportAttempt(affinityHash uint64, atm *attempt) {
+	out := place.Outcome{
+		Instance:     atm.chc.Instance.ID,
+		AffinityHash: affinityHash,
+		Load:         atm.rep.Info.Load,
+	}
+	var fai *send.Failure
+	if errors.As(atm.err, &fai) {
+		out.Result = resultOf(fai)
+		out.Load = fai.Info.Load
+	} else if atm.rep.Status >= http.StatusInternalServerError {
+		out.Result = place.ResultFailed
+	}
+	frt.cfg.Balancer.RecordOutcome(out, frt.cfg.Clock.Now())
+	if out.Load != nil {
+		frt.cfg.OnLoad(out.Instance, *out.Load)
+	}
+	frt.met.observeAttempt(out.Result)
+}
+
+func resultOf(fai *send.Failure) (res place.Result) {
+	switch fai.Kind {
+	case send.KindShed:
+		return place.ResultShed
+	case send.KindWrongInstance:
+		return place.ResultGone
+	case send.KindConnect, send.KindRefused:
+		return place.ResultUnreachable
+	case send.KindTimeout:
+		return place.ResultSilent
+	case send.KindCancelled:
+		return place.ResultDropped
+	case send.KindBroken, send.KindInvalidResponse:
+		return place.ResultFailed
+	default:
+		return place.ResultFailed
+	}
+}
--- a/internal/edge/front/export_test.go
+++ b/internal/edge/front/export_test.go
@@ -2,12 +2,12 @@
 
 import "net/http"
 
-// Fingerprint is the fingerprint of a request with a body.
+// Fingerprint returns the fingerprint of a request with the given body.
 func (frt *Front) Fingerprint(req *http.Request, body []byte) (text string) {
-	seen := req.Clone(req.Context())
-	seen.RequestURI = req.URL.RequestURI()
-	return fingerprint(seen, frt.cfg.Protocol.ParseRequest(req.Header), body)
+	received := req.Clone(req.Context())
+	received.RequestURI = req.URL.RequestURI()
+	return fingerprint(received, frt.cfg.Protocol.ParseRequest(req.Header), body)
 }
 
-// Wait waits for the checks of broken connections.
-func (frt *Front) Wait() { frt.checks.Wait() }
+// WaitCrashChecks waits until all checks of broken connections have ended.
+func (frt *Front) WaitCrashChecks() { frt.crashChecks.Wait() }
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -1,8 +1,9 @@
 // Package front serves callers: it reads a request, finds its route, chooses a target, sends the request and returns the target's
-// whole answer.
+// complete response.
 //
-// A request that may have run at a target is never refused as not run, and one that is not idempotent is sent again only when it has
-// certainly not run. Refusals are 503 with the time after which to come back; 502 and 504 promise nothing.
+// A request that may have run at a target is never reported as not run, and a request that is not idempotent is retried only when
+// it has certainly not run. A request that has not run is refused with status 503 and a Retry-After header. Statuses 502 and 504
+// leave open whether it ran.
 package front
 
 import (
@@ -30,10 +31,10 @@
 )
 
 const (
-	// defaultTimeout is the deadline of a request whose caller and route name none.
+	// defaultTimeout is the timeout of a request for which neither the caller nor the route sets one.
 	defaultTimeout = 30 * time.Second
-	// retryAfter is what a refused caller is told to wait. A slot of a full target becomes free within some tens of milliseconds, and a
-	// caller that comes back soon can still be answered within the objective.
+	// retryAfter is the value of Retry-After in refusals. A slot of a full target becomes free within some tens of milliseconds,
+	// and a caller that retries soon can still be answered within the objective.
 	retryAfter = 100 * time.Millisecond
 )
 
@@ -46,53 +47,54 @@
 	Scope    tally.Scope
 	Balancer *place.Balancer
 	Sender   *send.Sender
-	// View returns the current view of the fleet, Age the time since the store's last answer.
-	View func() *view.View
-	Age  func() time.Duration
-	// Stated is told of the load that an instance stated. It must not block.
-	Stated func(id cardamompass.InstanceID, lod cardamompass.Load)
-	// Crashed is told of a request that was in flight at an instance when that crashed. It must not block.
-	Crashed func(crs cardamompass.Crash)
-	// Dial opens connections to targets, to see whether they listen.
+	// View returns the current view of the fleet, StoreAge the time since the last response of the store.
+	View     func() *view.View
+	StoreAge func() time.Duration
+	// OnLoad is called with the load that an instance reported in a response. It must not block.
+	OnLoad func(id cardamompass.InstanceID, lod cardamompass.Load)
+	// OnCrash is called with the content of a request that was in flight at an instance when the instance crashed. It must not
+	// block.
+	OnCrash func(crs cardamompass.Crash)
+	// Dial opens connections to targets, to check whether they listen.
 	Dial func(ctx context.Context, network, address string) (con net.Conn, err error)
 }
 
-// Front is the handler of callers' requests. It is safe for concurrent use.
+// Front is the HTTP handler of callers' requests. It is safe for concurrent use.
 type Front struct {
 	cfg      Config
 	met      metrics
-	stopping atomic.Bool // answers end their connections
+	draining atomic.Bool // responses close their connections
 	refusing atomic.Bool // new requests are refused
 	active   atomic.Int64
 
-	mu      sync.Mutex
-	budgets map[cardamompass.ServiceName]*budget.Budget
-	splits  map[string]*split
-	typical map[string]time.Duration // median time by host and prefix
-	cleared map[string]bool          // fingerprints of known crashes that were answered since
-	checks  sync.WaitGroup
+	mu          sync.Mutex
+	budgets     map[cardamompass.ServiceName]*budget.Budget
+	splits      map[string]*split
+	medians     map[string]time.Duration // estimated median latency by host and prefix of the route
+	harmless    map[string]bool          // fingerprints of contents that crashed instances and were answered since
+	crashChecks sync.WaitGroup
 }
 
-// New returns a Front and the function that waits for what it does in the background.
+// New returns a Front and a function that waits for its background checks.
 func New(cfg Config) (frt *Front, cleanup func()) {
 	frt = &Front{
-		cfg:     cfg,
-		met:     newMetrics(cfg.Scope),
-		budgets: make(map[cardamompass.ServiceName]*budget.Budget),
-		splits:  make(map[string]*split),
-		typical: make(map[string]time.Duration),
-		cleared: make(map[string]bool),
+		cfg:      cfg,
+		met:      newMetrics(cfg.Scope),
+		budgets:  make(map[cardamompass.ServiceName]*budget.Budget),
+		splits:   make(map[string]*split),
+		medians:  make(map[string]time.Duration),
+		harmless: make(map[string]bool),
 	}
-	return frt, frt.checks.Wait
+	return frt, frt.crashChecks.Wait
 }
 
-// Stop makes each answer end its connection, so that callers move to other VMs.
-func (frt *Front) Stop() { frt.stopping.Store(true) }
+// Drain makes each response close its connection, so that callers connect to other VMs.
+func (frt *Front) Drain() { frt.draining.Store(true) }
 
 // Refuse makes the Front refuse new requests as not run.
 func (frt *Front) Refuse() { frt.refusing.Store(true) }
 
-// Active returns the number of requests under way.
+// Active returns the number of requests in progress.
 func (frt *Front) Active() (count int) { return int(frt.active.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -112,7 +114,7 @@
 	exc.serve()
 }
 
-// exchange is one request of a caller and its answer.
+// exchange is one request of a caller and its response.
 type exchange struct {
 	frt     *Front
 	wrt     http.ResponseWriter
@@ -136,28 +138,28 @@
 	}
 	body, err := exc.readBody()
 	if err != nil {
-		return // the answer was given, or the caller has left
+		return // readBody has responded, or the caller has disconnected
 	}
-	exc.vew = exc.frt.cfg.View() // the body may have taken seconds
+	exc.vew = exc.frt.cfg.View() // reading the body may have taken seconds
 	ok := false
 	exc.route, ok = exc.vew.Table.Match(hostName(exc.req.Host), exc.req.URL.EscapedPath())
 	if !ok {
 		exc.log.Info("request without route", zap.String("host", exc.req.Host), zap.String("path", exc.req.URL.Path),
 			zap.Uint64("table", exc.vew.Table.Version))
-		exc.fail(http.StatusNotFound, "no route")
+		exc.writeError(http.StatusNotFound, "no route")
 		return
 	}
-	exc.service = exc.frt.part(exc.route)
-	exc.frt.retries(exc.service).Request(exc.start)
-	exc.carry(body)
+	exc.service = exc.frt.nextService(exc.route)
+	exc.frt.retryBudget(exc.service).Request(exc.start)
+	exc.forward(body)
 }
 
-// readBody reads the whole body. On error the answer was given.
+// readBody reads the complete body. On error it has already responded to the caller.
 func (exc *exchange) readBody() (body []byte, err error) {
 	limit := exc.vew.Table.Limits.MaxBodyBytes
 	if limit > 0 && exc.req.ContentLength > limit {
-		exc.fail(http.StatusRequestEntityTooLarge, "the body is too long")
-		return nil, errors.New("body too long")
+		exc.writeError(http.StatusRequestEntityTooLarge, "the body is too long")
+		return nil, errors.New("request body exceeds the limit")
 	}
 	src := io.Reader(exc.req.Body)
 	if limit > 0 {
@@ -171,18 +173,18 @@
 	}
 	switch {
 	case err != nil:
-		exc.log.Info("request not read", zap.Error(err))
-		exc.fail(http.StatusBadRequest, "the body is not whole")
+		exc.log.Info("request body not read", zap.Error(err))
+		exc.writeError(http.StatusBadRequest, "the body is not whole")
 		return nil, err
 	case limit > 0 && int64(len(body)) > limit:
-		exc.fail(http.StatusRequestEntityTooLarge, "the body is too long")
-		return nil, errors.New("body too long")
+		exc.writeError(http.StatusRequestEntityTooLarge, "the body is too long")
+		return nil, errors.New("request body exceeds the limit")
 	}
 	return body, nil
 }
 
-// carry sends the request to targets until it has an answer, and gives it to the caller.
-func (exc *exchange) carry(body []byte) {
+// forward sends the request to targets until one answers, and writes the response to the caller.
+func (exc *exchange) forward(body []byte) {
 	wait := defaultTimeout
 	if exc.inc.Timeout > 0 {
 		wait = exc.inc.Timeout
@@ -190,121 +192,121 @@
 	if exc.route.Timeout > 0 {
 		wait = min(wait, exc.route.Timeout)
 	}
-	obj := rand.Uint64()
+	hsh := rand.Uint64()
 	if exc.route.Sticky && exc.inc.AffinityKey != "" {
-		obj = place.AffinityHash(exc.service, exc.inc.AffinityKey)
+		hsh = place.AffinityHash(exc.service, exc.inc.AffinityKey)
 	}
-	run := &job{
-		exc:         exc,
-		object:      obj,
-		fingerprint: fingerprint(exc.req, exc.inc, body),
+	dsp := &dispatch{
+		exc:          exc,
+		affinityHash: hsh,
+		fingerprint:  fingerprint(exc.req, exc.inc, body),
 		msg: send.Message{
-			ID:       exc.inc.ID,
-			Method:   exc.req.Method,
-			URI:      requestURI(exc.req),
-			Host:     exc.req.Host,
-			Header:   endToEnd(exc.req.Header),
-			Body:     body,
-			HasBody:  len(body) > 0 || exc.req.ContentLength > 0 || len(exc.req.TransferEncoding) > 0 || exc.req.Header.Get("Content-Length") != "",
-			Deadline: exc.start.Add(wait),
-			Once:     !exc.route.Idempotent,
+			ID:            exc.inc.ID,
+			Method:        exc.req.Method,
+			URI:           requestURI(exc.req),
+			Host:          exc.req.Host,
+			Header:        endToEnd(exc.req.Header),
+			Body:          body,
+			HasBody:       len(body) > 0 || exc.req.ContentLength > 0 || len(exc.req.TransferEncoding) > 0 || exc.req.Header.Get("Content-Length") != "",
+			Deadline:      exc.start.Add(wait),
+			NonIdempotent: !exc.route.Idempotent,
 		},
 	}
-	if exc.frt.crashing(exc.vew, run.fingerprint) {
+	if exc.frt.blocked(exc.vew, dsp.fingerprint) {
 		exc.refuse("requests with this content crash targets")
 		return
 	}
 	ctx := exc.req.Context()
 	if !exc.route.Idempotent {
-		// Work that may run only once is not cut when its caller leaves; the deadline ends it.
+		// A non-idempotent request is not cancelled when its caller disconnects; it ends by its deadline.
 		ctx = context.WithoutCancel(ctx)
 	}
-	rep, err := run.do(ctx)
+	rep, err := dsp.run(ctx)
 	switch {
 	case err == nil:
-		exc.answer(rep, run)
-	case exc.req.Context().Err() != nil || errors.Is(err, errCallerLeft):
-		exc.finish("caller-left", 0, run, err)
+		exc.writeResponse(rep, dsp)
+	case exc.req.Context().Err() != nil || errors.Is(err, errCallerDisconnected):
+		exc.finish("caller-left", 0, dsp, err)
 		panic(http.ErrAbortHandler)
 	default:
-		exc.failed(run, err)
+		exc.writeFailure(dsp, err)
 	}
 }
 
-// failed gives the caller a failure that says no more than is certain.
-func (exc *exchange) failed(run *job, err error) {
+// writeFailure responds to a request that got no response from a target. The status claims no more than is certain.
+func (exc *exchange) writeFailure(dsp *dispatch, err error) {
 	var fai *send.Failure
 	isFailure := errors.As(err, &fai)
 	switch {
-	case !run.mayHaveRun:
-		exc.comeBack("the request has not run")
-		exc.finish("refused", http.StatusServiceUnavailable, run, err)
+	case !dsp.mayHaveRun:
+		exc.writeUnavailable("the request has not run")
+		exc.finish("refused", http.StatusServiceUnavailable, dsp, err)
 	case isFailure && fai.Kind == send.KindTimeout:
-		exc.fail(http.StatusGatewayTimeout, "no answer in time")
-		exc.finish("timeout", http.StatusGatewayTimeout, run, err)
+		exc.writeError(http.StatusGatewayTimeout, "no answer in time")
+		exc.finish("timeout", http.StatusGatewayTimeout, dsp, err)
 	default:
-		exc.fail(http.StatusBadGateway, "no whole answer")
-		exc.finish("failed", http.StatusBadGateway, run, err)
+		exc.writeError(http.StatusBadGateway, "no whole answer")
+		exc.finish("failed", http.StatusBadGateway, dsp, err)
 	}
 }
 
-// answer hands on a target's answer unchanged.
-func (exc *exchange) answer(rep send.Reply, run *job) {
+// writeResponse writes a target's response to the caller. Only hop-by-hop headers are removed.
+func (exc *exchange) writeResponse(rep send.Reply, dsp *dispatch) {
 	hdr := exc.wrt.Header()
 	for name, values := range endToEnd(rep.Header) {
 		hdr[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := hdr[name]; !ok {
-			hdr[name] = nil // else net/http adds its own
+			hdr[name] = nil // keeps net/http from adding its own value
 		}
 	}
 	hdr.Set("Content-Length", strconv.Itoa(len(rep.Body)))
-	exc.closeWhenStopping()
+	exc.closeWhenDraining()
 	exc.wrt.WriteHeader(rep.Status)
 	_, err := exc.wrt.Write(rep.Body)
 	if err != nil {
-		exc.finish("caller-left", rep.Status, run, err)
+		exc.finish("caller-left", rep.Status, dsp, err)
 		return
 	}
-	exc.finish("answered", rep.Status, run, nil)
+	exc.finish("answered", rep.Status, dsp, nil)
 }
 
 func (exc *exchange) refuse(reason string) {
-	exc.comeBack(reason)
-	exc.log.Warn("request refused", zap.String("reason", reason), zap.Duration("store-age", exc.frt.cfg.Age()))
+	exc.writeUnavailable(reason)
+	exc.log.Warn("request refused", zap.String("reason", reason), zap.Duration("store-age", exc.frt.cfg.StoreAge()))
 	exc.frt.met.refused.Inc(1)
 }
 
-// comeBack gives the answer to a request that has not run: when the caller may send it again.
-func (exc *exchange) comeBack(reason string) {
+// writeUnavailable responds to a request that has not run with status 503 and the time after which to retry.
+func (exc *exchange) writeUnavailable(reason string) {
 	exc.wrt.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
-	exc.fail(http.StatusServiceUnavailable, reason)
+	exc.writeError(http.StatusServiceUnavailable, reason)
 }
 
-// fail gives an answer of this VM.
-func (exc *exchange) fail(status int, reason string) {
-	exc.closeWhenStopping()
+// writeError writes a response that this VM itself produces.
+func (exc *exchange) writeError(status int, reason string) {
+	exc.closeWhenDraining()
 	exc.wrt.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	exc.wrt.WriteHeader(status)
-	_, _ = io.WriteString(exc.wrt, reason+"\n") // a caller that has left gets nothing
+	_, _ = io.WriteString(exc.wrt, reason+"\n") // a write error means that the caller has disconnected
 }
 
-func (exc *exchange) closeWhenStopping() {
-	if exc.frt.stopping.Load() {
+func (exc *exchange) closeWhenDraining() {
+	if exc.frt.draining.Load() {
 		exc.wrt.Header().Set("Connection", "close")
 	}
 }
 
-// finish logs and counts the end of a request.
-func (exc *exchange) finish(outcome string, status int, run *job, err error) {
+// finish logs the end of a request and updates the metrics.
+func (exc *exchange) finish(outcome string, status int, dsp *dispatch, err error) {
 	ela := exc.frt.cfg.Clock.Now().Sub(exc.start)
-	exc.frt.met.finished(exc.route, exc.service, outcome, ela)
+	exc.frt.met.observeRequest(exc.route, exc.service, outcome, ela)
 	fields := []zap.Field{
 		zap.String("route", exc.route.Name), zap.String("service", string(exc.service)), zap.String("object", exc.inc.AffinityKey),
 		zap.String("outcome", outcome), zap.Int("status", status), zap.Duration("took", ela),
-		zap.Duration("allowed", run.msg.Deadline.Sub(exc.start)), zap.Int("sent", len(run.tried)), zap.Uint64("table", exc.vew.Table.Version),
-		zap.Duration("store-age", exc.frt.cfg.Age()),
+		zap.Duration("allowed", dsp.msg.Deadline.Sub(exc.start)), zap.Int("sent", len(dsp.tried)), zap.Uint64("table", exc.vew.Table.Version),
+		zap.Duration("store-age", exc.frt.cfg.StoreAge()),
 	}
 	if err != nil {
 		exc.log.Warn("request "+outcome, append(fields, zap.Error(err))...)
@@ -313,7 +315,7 @@
 	exc.log.Info("request "+outcome, fields...)
 }
 
-// hostName returns a Host header's name in lower case without a port.
+// hostName returns the host name in a Host header, in lower case and without the port.
 func hostName(host string) (name string) {
 	if without, _, err := net.SplitHostPort(host); err == nil {
 		host = without
@@ -321,7 +323,7 @@
 	return strings.ToLower(host)
 }
 
-// requestURI returns the request target in origin form, as the caller sent it where it used that form.
+// requestURI returns the request target in origin form, unchanged if the caller sent it in that form.
 func requestURI(req *http.Request) (uri string) {
 	if strings.HasPrefix(req.RequestURI, "/") {
 		return req.RequestURI
@@ -329,13 +331,14 @@
 	return req.URL.RequestURI()
 }
 
-// hopByHop are the headers that concern one connection only. Content-Length is written anew with the whole body.
+// hopByHop are the headers that apply to a single connection. Content-Length is among them because it is set anew from the complete
+// body.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// endToEnd returns the headers without those of one connection. The values are shared.
+// endToEnd returns the headers without the hop-by-hop ones. The value slices are shared with hdr.
 func endToEnd(hdr http.Header) (out http.Header) {
 	out = make(http.Header, len(hdr))
 	for name, values := range hdr {
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -23,8 +23,8 @@
 	"cardamompass/platform"
 )
 
-// site is a Front with stand-in targets behind it.
-type site struct {
+// fixture is a Front with simulated targets.
+type fixture struct {
 	t        *testing.T
 	targets  []*ptarg.Target
 	stops    []func()
@@ -46,7 +46,7 @@
 			Prefix:           prefix,
 			Idempotent:       idempotent,
 			Timeout:          400 * time.Millisecond,
-			LatencyObjective: 2 * time.Second, // no second copies unless a test wants them
+			LatencyObjective: 2 * time.Second, // long enough that nothing is hedged
 			WeightedServices: parts,
 			MaxTargets:       2,
 			Sticky:           true,
@@ -70,9 +70,9 @@
 	}
 }
 
-func newSite(t *testing.T, targets int) (sit *site) {
+func newFixture(t *testing.T, targets int) (fxt *fixture) {
 	t.Helper()
-	sit = &site{
+	fxt = &fixture{
 		t:        t,
 		balancer: place.New(place.Config{Self: "vm-1", Region: "r"}),
 	}
@@ -88,18 +88,18 @@
 		Clock:    cardamompass.SystemClock{},
 		Log:      zap.NewNop(),
 		Scope:    mtr.Scope(),
-		Balancer: sit.balancer,
+		Balancer: fxt.balancer,
 		Sender:   snd,
-		View:     sit.view,
-		Age:      func() time.Duration { return 0 },
-		Stated:   func(cardamompass.InstanceID, cardamompass.Load) {},
-		Crashed:  sit.crashed,
+		View:     fxt.view,
+		StoreAge: func() time.Duration { return 0 },
+		OnLoad:   func(cardamompass.InstanceID, cardamompass.Load) {},
+		OnCrash:  fxt.crashed,
 		Dial:     send.Dialer(time.Second),
 	})
-	sit.front = frt
-	sit.server = httptest.NewServer(frt)
+	fxt.front = frt
+	fxt.server = httptest.NewServer(frt)
 	t.Cleanup(func() {
-		sit.server.Close()
+		fxt.server.Close()
 		stopFront()
 		stopSender()
 		stopMetrics()
@@ -116,8 +116,8 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(stop)
-		sit.targets = append(sit.targets, tgt)
-		sit.stops = append(sit.stops, stop)
+		fxt.targets = append(fxt.targets, tgt)
+		fxt.stops = append(fxt.stops, stop)
 		chs = append(chs, cardamompass.Change{
 			Instance: &cardamompass.Instance{
 				ID:      cardamompass.InstanceID(id),
@@ -128,51 +128,51 @@
 			},
 		})
 	}
-	sit.apply(chs...)
-	return sit
+	fxt.apply(chs...)
+	return fxt
 }
 
-func (sit *site) view() (vew *view.View) {
-	sit.mu.Lock()
-	defer sit.mu.Unlock()
-	return sit.vew
+func (fxt *fixture) view() (vew *view.View) {
+	fxt.mu.Lock()
+	defer fxt.mu.Unlock()
+	return fxt.vew
 }
 
-func (sit *site) apply(chs ...cardamompass.Change) {
-	sit.mu.Lock()
-	defer sit.mu.Unlock()
-	if sit.vew == nil {
-		sit.vew = view.Empty()
-	}
-	sit.vew = sit.vew.WithChanges(chs, 1, view.Outage{}, time.Now())
-	sit.balancer.Sync(sit.vew, time.Now())
+func (fxt *fixture) apply(chs ...cardamompass.Change) {
+	fxt.mu.Lock()
+	defer fxt.mu.Unlock()
+	if fxt.vew == nil {
+		fxt.vew = view.Empty()
+	}
+	fxt.vew = fxt.vew.WithChanges(chs, 1, view.Outage{}, time.Now())
+	fxt.balancer.Sync(fxt.vew, time.Now())
 }
 
-func (sit *site) crashed(crs cardamompass.Crash) {
-	sit.mu.Lock()
-	sit.crashes = append(sit.crashes, crs)
-	sit.mu.Unlock()
-	sit.apply(cardamompass.Change{Crash: &crs})
+func (fxt *fixture) crashed(crs cardamompass.Crash) {
+	fxt.mu.Lock()
+	fxt.crashes = append(fxt.crashes, crs)
+	fxt.mu.Unlock()
+	fxt.apply(cardamompass.Change{Crash: &crs})
 }
 
-func (sit *site) set(flt ptarg.Fault) {
-	for _, tgt := range sit.targets {
+func (fxt *fixture) set(flt ptarg.Fault) {
+	for _, tgt := range fxt.targets {
 		tgt.Set(flt)
 	}
 }
 
-func (sit *site) runs() (count int) {
-	for _, tgt := range sit.targets {
+func (fxt *fixture) runs() (count int) {
+	for _, tgt := range fxt.targets {
 		count += len(tgt.Runs())
 	}
 	return count
 }
 
-func (sit *site) request(ctx context.Context, path, id string) (req *http.Request) {
-	sit.t.Helper()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, sit.server.URL+path, strings.NewReader("body of "+id))
+func (fxt *fixture) request(ctx context.Context, path, id string) (req *http.Request) {
+	fxt.t.Helper()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fxt.server.URL+path, strings.NewReader("body of "+id))
 	if err != nil {
-		sit.t.Fatal(err)
+		fxt.t.Fatal(err)
 	}
 	req.Host = "H.example:80"
 	req.Header.Set("Request-Id", id)
@@ -181,21 +181,21 @@
 	return req
 }
 
-func (sit *site) send(path, id string) (status int, hdr http.Header, body string) {
-	sit.t.Helper()
-	rsp, err := http.DefaultClient.Do(sit.request(sit.t.Context(), path, id))
+func (fxt *fixture) send(path, id string) (status int, hdr http.Header, body string) {
+	fxt.t.Helper()
+	rsp, err := http.DefaultClient.Do(fxt.request(fxt.t.Context(), path, id))
 	if err != nil {
-		sit.t.Fatal(err)
+		fxt.t.Fatal(err)
 	}
 	defer rsp.Body.Close()
 	data, err := io.ReadAll(rsp.Body)
 	if err != nil {
-		sit.t.Fatal(err)
+		fxt.t.Fatal(err)
 	}
 	return rsp.StatusCode, rsp.Header, string(data)
 }
 
-// Guards against a second run of work that may run only once, and against a refusal of work that ran.
+// Guards against running a non-idempotent request twice, and against refusing as not run a request that ran.
 func TestNonIdempotentRequest(t *testing.T) {
 	tests := []struct {
 		fault  ptarg.Fault
@@ -216,17 +216,17 @@
 	}
 	for _, tst := range tests {
 		t.Run(string(tst.fault)+" ", func(t *testing.T) {
-			sit := newSite(t, 3)
-			sit.set(tst.fault)
-			status, hdr, body := sit.send("/write/a", "r-1")
-			if status != tst.status || sit.runs() != tst.runs {
-				t.Fatalf("status %d after %d runs, want %d after %d", status, sit.runs(), tst.status, tst.runs)
+			fxt := newFixture(t, 3)
+			fxt.set(tst.fault)
+			status, hdr, body := fxt.send("/write/a", "r-1")
+			if status != tst.status || fxt.runs() != tst.runs {
+				t.Fatalf("status %d after %d runs, want %d after %d", status, fxt.runs(), tst.status, tst.runs)
 			}
 			if sealed := hdr.Get("Response-Seal") != ""; sealed != (status == 200 || status == 500) {
-				t.Errorf("signature %q on status %d", hdr.Get("Response-Seal"), status)
+				t.Errorf("signature %q with status %d", hdr.Get("Response-Seal"), status)
 			}
 			if status == 503 && hdr.Get("Retry-After") == "" {
-				t.Error("a refusal does not say when to come back")
+				t.Error("a refusal has no Retry-After header")
 			}
 			if status == 200 && body != ptarg.Body("r-1") {
 				t.Errorf("body %q", body)
@@ -235,7 +235,7 @@
 	}
 }
 
-// Guards against a failure that a second target could have answered, and against more targets than the route allows.
+// Guards against a failure of a request that a second target could have answered, and against more targets than the route allows.
 func TestIdempotentRequest(t *testing.T) {
 	tests := []struct {
 		fault  ptarg.Fault
@@ -253,208 +253,208 @@
 	}
 	for _, tst := range tests {
 		t.Run(string(tst.fault)+" then "+string(tst.others), func(t *testing.T) {
-			sit := newSite(t, 4)
-			status, _, _ := sit.send("/read/a", "r-0")
+			fxt := newFixture(t, 4)
+			status, _, _ := fxt.send("/read/a", "r-0")
 			if status != 200 {
 				t.Fatalf("status %d", status)
 			}
-			sit.set(tst.others)
-			for _, tgt := range sit.targets {
+			fxt.set(tst.others)
+			for _, tgt := range fxt.targets {
 				if len(tgt.Runs()) > 0 {
 					tgt.Set(tst.fault) // the target of this object
 				}
 			}
-			status, _, _ = sit.send("/read/a", "r-1")
-			if status != tst.status || sit.runs()-1 != tst.runs {
-				t.Fatalf("status %d after %d runs, want %d after %d", status, sit.runs()-1, tst.status, tst.runs)
+			status, _, _ = fxt.send("/read/a", "r-1")
+			if status != tst.status || fxt.runs()-1 != tst.runs {
+				t.Fatalf("status %d after %d runs, want %d after %d", status, fxt.runs()-1, tst.status, tst.runs)
 			}
 		})
 	}
 }
 
-// Guards against a budget of repeats that is used up by requests for which there is no second target.
+// Guards against a retry budget that is used up by requests for which there is no second target.
 func TestRepeatsWithoutATargetCostNothing(t *testing.T) {
-	sit := newSite(t, 2)
-	second, _ := sit.view().Instance("i-1")
-	sit.apply(cardamompass.Change{InstanceRemoved: "i-1"})
-	sit.set(ptarg.FaultError)
-	const more = 40 // above the 28 repeats that may be taken at once
+	fxt := newFixture(t, 2)
+	second, _ := fxt.view().Instance("i-1")
+	fxt.apply(cardamompass.Change{InstanceRemoved: "i-1"})
+	fxt.set(ptarg.FaultError)
+	const more = 40 // above the 28 retries that the budget allows at once
 	for num := range more {
-		sit.send("/read/a", fmt.Sprintf("r-%d", num))
+		fxt.send("/read/a", fmt.Sprintf("r-%d", num))
 	}
-	if sit.runs() != more {
-		t.Fatalf("%d runs of %d requests with one target", sit.runs(), more)
+	if fxt.runs() != more {
+		t.Fatalf("%d runs of %d requests with one target", fxt.runs(), more)
 	}
-	sit.apply(cardamompass.Change{Instance: &second})
-	if sit.send("/read/a", "r-last"); sit.runs() != more+2 {
-		t.Fatalf("%d runs of the last request, want 2", sit.runs()-more)
+	fxt.apply(cardamompass.Change{Instance: &second})
+	if fxt.send("/read/a", "r-last"); fxt.runs() != more+2 {
+		t.Fatalf("%d runs of the last request, want 2", fxt.runs()-more)
 	}
 }
 
-// Guards against a refusal or a failure while another target could run a request that reached nobody.
-func TestTargetThatIsNotThere(t *testing.T) {
+// Guards against failing or refusing a request that reached no target although another target could run it.
+func TestUnreachableTarget(t *testing.T) {
 	for _, path := range []string{"/read/a", "/write/a"} {
 		t.Run(path, func(t *testing.T) {
-			sit := newSite(t, 3)
-			if status, _, _ := sit.send(path, "r-0"); status != 200 {
+			fxt := newFixture(t, 3)
+			if status, _, _ := fxt.send(path, "r-0"); status != 200 {
 				t.Fatalf("status %d", status)
 			}
-			for num, tgt := range sit.targets {
+			for num, tgt := range fxt.targets {
 				if len(tgt.Runs()) > 0 {
-					sit.stops[num]()
+					fxt.stops[num]()
 				}
 			}
-			if status, _, body := sit.send(path, "r-1"); status != 200 || body != ptarg.Body("r-1") {
+			if status, _, body := fxt.send(path, "r-1"); status != 200 || body != ptarg.Body("r-1") {
 				t.Fatalf("status %d", status)
 			}
 		})
 	}
 }
 
-// Guards against a VM without a table that tells callers that their route does not exist.
-func TestAnswersWithoutATarget(t *testing.T) {
-	sit := newSite(t, 1)
-	if status, _, _ := sit.send("/nowhere/a", "r-1"); status != 404 {
+// Guards against a VM that answers 404 while it has no routing table yet.
+func TestResponsesWithoutTarget(t *testing.T) {
+	fxt := newFixture(t, 1)
+	if status, _, _ := fxt.send("/nowhere/a", "r-1"); status != 404 {
 		t.Errorf("unknown route: status %d", status)
 	}
-	if status, hdr, _ := sit.send("/split/a", "r-2"); status != 200 {
+	if status, hdr, _ := fxt.send("/split/a", "r-2"); status != 200 {
 		t.Errorf("first part: status %d, %v", status, hdr)
 	}
-	sit.mu.Lock()
-	sit.vew = view.Empty()
-	sit.mu.Unlock()
-	if status, hdr, _ := sit.send("/read/a", "r-3"); status != 503 || hdr.Get("Retry-After") == "" {
+	fxt.mu.Lock()
+	fxt.vew = view.Empty()
+	fxt.mu.Unlock()
+	if status, hdr, _ := fxt.send("/read/a", "r-3"); status != 503 || hdr.Get("Retry-After") == "" {
 		t.Errorf("no table: status %d", status)
 	}
 }
 
-// Guards against a route with a shorter prefix that takes the requests of a longer one, here with other rules for repeats.
+// Guards against a route with a shorter prefix that takes the requests of a longer one, here one that is not idempotent.
 func TestLongestPrefixWins(t *testing.T) {
-	sit := newSite(t, 3)
-	sit.set(ptarg.FaultReset)
-	if status, _, _ := sit.send("/read/deep/a", "r-1"); status != 502 || sit.runs() != 1 {
-		t.Fatalf("status %d after %d runs", status, sit.runs())
+	fxt := newFixture(t, 3)
+	fxt.set(ptarg.FaultReset)
+	if status, _, _ := fxt.send("/read/deep/a", "r-1"); status != 502 || fxt.runs() != 1 {
+		t.Fatalf("status %d after %d runs", status, fxt.runs())
 	}
 }
 
-// Guards against parts of a route that do not get their share of the requests.
+// Guards against services of a route that do not get their share of the requests.
 func TestSplitFollowsWeights(t *testing.T) {
-	sit := newSite(t, 2)
+	fxt := newFixture(t, 2)
 	refused := 0
 	for num := range 40 {
-		if status, _, _ := sit.send("/split/a", fmt.Sprint("r-", num)); status == 503 {
+		if status, _, _ := fxt.send("/split/a", fmt.Sprint("r-", num)); status == 503 {
 			refused++
 		}
 	}
 	if refused != 10 {
-		t.Fatalf("%d of 40 requests went to the part with a quarter of the weight", refused)
+		t.Fatalf("%d of 40 requests went to the service with a quarter of the weight, want 10", refused)
 	}
 }
 
 // Guards against callers that wait longer than their route allows.
 func TestRouteTimeout(t *testing.T) {
-	sit := newSite(t, 2)
-	sit.set(ptarg.FaultSilent)
+	fxt := newFixture(t, 2)
+	fxt.set(ptarg.FaultSilent)
 	begin := time.Now()
-	status, _, _ := sit.send("/write/a", "r-1")
+	status, _, _ := fxt.send("/write/a", "r-1")
 	if ela := time.Since(begin); status != 504 || ela < 400*time.Millisecond || ela > 900*time.Millisecond {
 		t.Fatalf("status %d after %v, want 504 within half a second of 400 ms", status, ela)
 	}
 }
 
-// Guards against a silent target that makes its callers late although another one could answer.
-func TestSecondCopyOfASlowRequest(t *testing.T) {
-	sit := newSite(t, 3)
-	if status, _, _ := sit.send("/hedged/a", "r-0"); status != 200 {
+// Guards against a late response when the first target is silent and another one could answer.
+func TestHedgeOfSlowRequest(t *testing.T) {
+	fxt := newFixture(t, 3)
+	if status, _, _ := fxt.send("/hedged/a", "r-0"); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	for _, tgt := range sit.targets {
+	for _, tgt := range fxt.targets {
 		if len(tgt.Runs()) > 0 {
 			tgt.Set(ptarg.FaultSilent)
 		}
 	}
-	if status, _, _ := sit.send("/hedged/a", "r-1"); status != 200 || sit.runs() != 3 {
-		t.Fatalf("status %d after %d runs", status, sit.runs()-1)
+	if status, _, _ := fxt.send("/hedged/a", "r-1"); status != 200 || fxt.runs() != 3 {
+		t.Fatalf("status %d after %d runs", status, fxt.runs()-1)
 	}
 }
 
-// Guards against work that goes on for callers that have left, and against cutting work that may run only once.
-func TestCallerLeaves(t *testing.T) {
+// Guards against requests that keep running after their callers have disconnected, and against cancelling a non-idempotent request.
+func TestCallerDisconnects(t *testing.T) {
 	for _, tst := range []struct {
-		path string
-		cut  bool
+		path      string
+		cancelled bool
 	}{{"/read/a", true}, {"/write/a", false}} {
 		t.Run(tst.path, func(t *testing.T) {
-			sit := newSite(t, 1)
-			sit.set(ptarg.FaultSilent)
+			fxt := newFixture(t, 1)
+			fxt.set(ptarg.FaultSilent)
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				rsp, err := http.DefaultClient.Do(sit.request(ctx, tst.path, "r-1"))
+				rsp, err := http.DefaultClient.Do(fxt.request(ctx, tst.path, "r-1"))
 				if err == nil {
 					rsp.Body.Close()
 				}
 			}()
-			for sit.runs() == 0 {
+			for fxt.runs() == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			cancel()
 			<-done
 			begin := time.Now()
-			for sit.front.Active() > 0 {
+			for fxt.front.Active() > 0 {
 				time.Sleep(time.Millisecond)
 			}
-			if early := time.Since(begin) < 200*time.Millisecond; early != tst.cut {
-				t.Fatalf("the request ended %v after its caller had left; its time is 400 ms", time.Since(begin))
+			if early := time.Since(begin) < 200*time.Millisecond; early != tst.cancelled {
+				t.Fatalf("the request ended %v after its caller had disconnected; its timeout is 400 ms", time.Since(begin))
 			}
 		})
 	}
 }
 
-// Guards against a request that crashes one target after the other because its caller comes again and again.
+// Guards against a request that crashes one target after the other because its caller sends it again and again.
 func TestContentThatCrashesTargets(t *testing.T) {
-	sit := newSite(t, 1)
+	fxt := newFixture(t, 1)
 	for num := range 3 {
-		sit.apply(cardamompass.Change{Instance: &cardamompass.Instance{
+		fxt.apply(cardamompass.Change{Instance: &cardamompass.Instance{
 			ID:      cardamompass.InstanceID(fmt.Sprint("crashed-", num)),
 			Service: "other",
 		}})
 	}
-	sit.targets[0].Set(ptarg.FaultReset)
-	sit.send("/write/a", "r-1")
-	sit.front.Wait()
-	if len(sit.crashes) > 0 {
-		t.Fatal("a target that listens counts as crashed")
+	fxt.targets[0].Set(ptarg.FaultReset)
+	fxt.send("/write/a", "r-1")
+	fxt.front.WaitCrashChecks()
+	if len(fxt.crashes) > 0 {
+		t.Fatal("a target that still listens was reported as crashed")
 	}
-	content := sit.front.Fingerprint(sit.request(t.Context(), "/write/a", "r-1"), []byte("body of r-1"))
+	content := fxt.front.Fingerprint(fxt.request(t.Context(), "/write/a", "r-1"), []byte("body of r-1"))
 	for num := range 3 {
-		sit.crashed(cardamompass.Crash{
+		fxt.crashed(cardamompass.Crash{
 			Fingerprint: content,
 			Instance:    cardamompass.InstanceID(fmt.Sprint("crashed-", num)),
 		})
 	}
-	runs := sit.runs()
-	sit.targets[0].Set(ptarg.FaultNone)
-	if status, _, _ := sit.send("/write/a", "r-1"); status != 503 || sit.runs() != runs {
-		t.Fatalf("status %d, %d more runs", status, sit.runs()-runs)
+	runs := fxt.runs()
+	fxt.targets[0].Set(ptarg.FaultNone)
+	if status, _, _ := fxt.send("/write/a", "r-1"); status != 503 || fxt.runs() != runs {
+		t.Fatalf("status %d, %d more runs", status, fxt.runs()-runs)
 	}
-	if status, _, _ := sit.send("/write/b", "r-2"); status != 200 {
+	if status, _, _ := fxt.send("/write/b", "r-2"); status != 200 {
 		t.Fatalf("another content: status %d", status)
 	}
 }
 
-// Guards against new requests that keep a VM from stopping, and against connections that callers keep to a VM that stops.
+// Guards against new requests that keep a VM from stopping, and against callers that stay connected to a VM that stops.
 func TestStop(t *testing.T) {
-	sit := newSite(t, 1)
-	sit.front.Stop()
-	rsp, err := http.DefaultClient.Do(sit.request(t.Context(), "/read/a", "r-1"))
+	fxt := newFixture(t, 1)
+	fxt.front.Drain()
+	rsp, err := http.DefaultClient.Do(fxt.request(t.Context(), "/read/a", "r-1"))
 	if err != nil || rsp.StatusCode != http.StatusOK || !rsp.Close {
-		t.Fatalf("answer %+v, error %v", rsp, err)
+		t.Fatalf("response %+v, error %v", rsp, err)
 	}
 	rsp.Body.Close()
-	sit.front.Refuse()
-	if status, hdr, _ := sit.send("/read/a", "r-2"); status != 503 || hdr.Get("Retry-After") == "" {
+	fxt.front.Refuse()
+	if status, hdr, _ := fxt.send("/read/a", "r-2"); status != 503 || hdr.Get("Retry-After") == "" {
 		t.Fatalf("status %d", status)
 	}
 }
--- a/internal/edge/front/metric.go
+++ b/internal/edge/front/metric.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func (met metrics) finished(rte *cardamompass.Route, svc cardamompass.ServiceName, outcome string, ela time.Duration) {
+func (met metrics) observeRequest(rte *cardamompass.Route, svc cardamompass.ServiceName, outcome string, ela time.Duration) {
 	scp := met.scope.Tagged(map[string]string{
 		"service":    string(svc),
 		"priority":   strconv.Itoa(rte.Priority),
@@ -35,7 +35,7 @@
 	scp.Histogram("request-seconds", metric.LatencyBuckets()).RecordDuration(ela)
 }
 
-func (met metrics) attempt(res place.Result) {
+func (met metrics) observeAttempt(res place.Result) {
 	met.scope.Tagged(map[string]string{
 		"result": res.String(),
 	}).Counter("attempts").Inc(1)
--- /dev/null
+++ b/internal/edge/front/policy.go
@@ -0,0 +1,144 @@
+package front
+
+import (
+	"math"
+	"time"
+
+	"cardamompass"
+	"cardamompass/internal/steer/budget"
+)
+
+const (
+	// budgetSafety is the fraction of the common retry budget that the VMs use. The rest covers VMs that disagree about their
+	// number.
+	budgetSafety = 0.85
+	// initialMedianFactor is the initial estimate of a route's median latency as a fraction of its objective.
+	initialMedianFactor = 0.5
+	// medianStep is the fraction by which each response moves the estimate of the median latency.
+	medianStep = 0.03
+	// hedgeLatencyFactor is the expected latency of a hedge relative to the median. A hedge that starts that long before the
+	// objective can still be answered within it.
+	hedgeLatencyFactor = 1.2
+	// callerTransferTime is the time that a response takes from this VM to the caller.
+	callerTransferTime = 15 * time.Millisecond
+	// minHedgeDelayFactor is the shortest hedge delay relative to the median latency. A shorter delay would hedge requests that
+	// take their usual time.
+	minHedgeDelayFactor = 1.25
+	// highestMaxLoad is the load relative to the slots up to which requests of the highest priority are sent to a target. A queue
+	// as long as the number of slots is about what an objective leaves time for. Each lower priority has maxLoadStep less, down to
+	// lowestMaxLoad.
+	highestMaxLoad = 2.0
+	maxLoadStep    = 0.25
+	lowestMaxLoad  = 1.25
+)
+
+// retryBudget returns this VM's part of the retry budget of a service, from which retries and hedges are taken.
+func (frt *Front) retryBudget(svc cardamompass.ServiceName) (bud *budget.Budget) {
+	now := frt.cfg.Clock.Now()
+	set := frt.cfg.Settings
+	count := frt.cfg.Balancer.VMs(now)
+	minimum := int(math.Floor(budgetSafety * float64(set.RetryBudgetSlack) / float64(count)))
+	frt.mu.Lock()
+	defer frt.mu.Unlock()
+	bud, ok := frt.budgets[svc]
+	if !ok {
+		bud = budget.New(budget.Config{
+			Percent: int(budgetSafety * float64(set.RetryBudgetPercent)),
+			Minimum: minimum,
+			Window:  set.RetryBudgetWindow,
+		}, now)
+		frt.budgets[svc] = bud
+	}
+	bud.SetMinimum(minimum, now)
+	return bud
+}
+
+// hedgeDelay returns the time after which the first attempt is hedged.
+func (dsp *dispatch) hedgeDelay() (dur time.Duration) {
+	typ := dsp.exc.frt.medianLatency(dsp.exc.route, 0)
+	latest := dsp.exc.route.LatencyObjective - time.Duration(hedgeLatencyFactor*float64(typ)) - callerTransferTime
+	return max(latest, time.Duration(minHedgeDelayFactor*float64(typ)))
+}
+
+// medianLatency returns the estimated median latency of the attempts of a route. If ela is not 0, the estimate is first updated
+// with a response that took ela.
+func (frt *Front) medianLatency(rte *cardamompass.Route, ela time.Duration) (typ time.Duration) {
+	frt.mu.Lock()
+	defer frt.mu.Unlock()
+	key := rte.Host + rte.Prefix
+	typ, ok := frt.medians[key]
+	if !ok {
+		typ = time.Duration(initialMedianFactor * float64(rte.LatencyObjective))
+	}
+	switch {
+	case ela > typ:
+		typ += time.Duration(medianStep * float64(typ))
+	case ela > 0:
+		typ -= time.Duration(medianStep * float64(typ))
+	}
+	if ela > 0 {
+		frt.medians[key] = typ
+	}
+	return typ
+}
+
+// mayHedge reports whether a second attempt may start while the first is running.
+func (dsp *dispatch) mayHedge() (ok bool) {
+	return dsp.exc.route.Idempotent && len(dsp.tried) < dsp.exc.route.MaxTargets && dsp.hasTime()
+}
+
+// split divides the requests of a route among its services exactly by weight.
+type split struct {
+	assigned map[cardamompass.ServiceName]float64
+	total    float64
+}
+
+// nextService returns the service of the next request of a route: the one that lags furthest behind its weight.
+func (frt *Front) nextService(rte *cardamompass.Route) (svc cardamompass.ServiceName) {
+	if len(rte.WeightedServices) == 1 {
+		return rte.WeightedServices[0].Service
+	}
+	frt.mu.Lock()
+	defer frt.mu.Unlock()
+	key := rte.Host + rte.Prefix
+	for _, prt := range rte.WeightedServices {
+		key += "|" + string(prt.Service) + "=" + formatWeight(prt.Weight)
+	}
+	spl, ok := frt.splits[key]
+	if !ok {
+		spl = &split{
+			assigned: make(map[cardamompass.ServiceName]float64),
+		}
+		frt.splits[key] = spl
+	}
+	return spl.next(rte.WeightedServices)
+}
+
+func (spl *split) next(parts []cardamompass.WeightedService) (svc cardamompass.ServiceName) {
+	weightSum := 0.0
+	for _, prt := range parts {
+		weightSum += prt.Weight
+	}
+	spl.total++
+	maxLag := math.Inf(-1)
+	for _, prt := range parts {
+		lag := prt.Weight/weightSum*spl.total - spl.assigned[prt.Service]
+		if lag > maxLag {
+			maxLag, svc = lag, prt.Service
+		}
+	}
+	spl.assigned[svc]++
+	return svc
+}
+
+// maxLoad returns the load relative to the slots at which a target counts as full for requests of a route. It is lower for routes
+// of lower priority, so that these are refused first.
+func maxLoad(tbl *cardamompass.RoutingTable, rte *cardamompass.Route) (limit float64) {
+	higher := make(map[int]bool)
+	for num := range tbl.Routes {
+		if pri := tbl.Routes[num].Priority; pri < rte.Priority {
+			higher[pri] = true
+		}
+	}
+	return max(lowestMaxLoad, highestMaxLoad-maxLoadStep*float64(len(higher)))
+}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -100,11 +100,11 @@
 	opened := scp.Counter("target-connections")
 	nod.sender = own(nod, func() (*send.Sender, func()) {
 		return send.New(send.Config{
-			Protocol: cfg.Protocol,
-			Clock:    cfg.Clock,
-			Dial:     send.Dialer(targetSilence),
-			Opened:   func() { opened.Inc(1) },
-			Log:      cfg.Log,
+			Protocol:  cfg.Protocol,
+			Clock:     cfg.Clock,
+			Dial:      send.Dialer(targetSilence),
+			OnConnect: func() { opened.Inc(1) },
+			Log:       cfg.Log,
 		})
 	})
 	nod.follower = own(nod, func() (*view.Follower, func()) {
@@ -131,9 +131,9 @@
 			Balancer: nod.balancer,
 			Sender:   nod.sender,
 			View:     nod.follower.View,
-			Age:      nod.follower.Age,
-			Stated:   nod.caster.RecordLoad,
-			Crashed:  reports.crashed,
+			StoreAge: nod.follower.Age,
+			OnLoad:   nod.caster.RecordLoad,
+			OnCrash:  reports.crashed,
 			Dial:     send.Dialer(targetSilence),
 		})
 	})
@@ -210,7 +210,7 @@
 // trim closes idle connections that are too old or lead to targets that are gone.
 func (nod *Node) trim() {
 	vew := nod.follower.View()
-	nod.sender.Trim(func(id cardamompass.InstanceID) bool {
+	nod.sender.PruneIdle(func(id cardamompass.InstanceID) bool {
 		ins, ok := vew.Instance(id)
 		return ok && !ins.Leaving
 	})
--- a/internal/edge/node/state.go
+++ b/internal/edge/node/state.go
@@ -24,7 +24,7 @@
 	scp.Gauge("store-age-seconds").Update(nod.follower.Age().Seconds())
 	scp.Gauge("running-vms").Update(float64(len(nod.caster.OtherVMs()) + 1))
 	scp.Gauge("targets").Update(float64(len(vew.All())))
-	scp.Gauge("idle-connections").Update(float64(nod.sender.Idle()))
+	scp.Gauge("idle-connections").Update(float64(nod.sender.IdleCount()))
 	scp.Gauge("active-requests").Update(float64(nod.front.Active()))
 	scp.Gauge("log-lines-dropped").Update(float64(nod.cfg.LinesDropped()))
 }
--- a/internal/edge/node/stop.go
+++ b/internal/edge/node/stop.go
@@ -26,7 +26,7 @@
 func (nod *Node) Stop() {
 	begin := nod.cfg.Clock.Now()
 	nod.stopping.Store(true)
-	nod.front.Stop()
+	nod.front.Drain()
 	nod.caster.AnnounceStop()
 	nod.cfg.Log.Info("stop begins", zap.Int("active", nod.front.Active()))
 	var withdrawn sync.WaitGroup
--- a/internal/edge/relay/limits_test.go
+++ b/internal/edge/relay/limits_test.go
@@ -79,10 +79,10 @@
 	if err := <-first; err == nil || errors.As(err, &uoe) && uoe.Broken {
 		t.Errorf("cancelled attempt: %v", err)
 	}
-	if rch := rly.Probe(t.Context(), refusing); rch != relay.ReachRefused {
+	if rch := rly.Probe(t.Context(), refusing); rch != relay.ProbeRefused {
 		t.Errorf("probe of a closed port: %v", rch)
 	}
-	if rch := rly.Probe(t.Context(), shedding); rch != relay.ReachOpen {
+	if rch := rly.Probe(t.Context(), shedding); rch != relay.ProbeAccepted {
 		t.Errorf("probe of an open port: %v", rch)
 	}
 }
--- a/internal/edge/relay/pool.go
+++ b/internal/edge/relay/pool.go
@@ -127,8 +127,8 @@
 	return con
 }
 
-// Forget closes the idle connections to a target that left and drops its pools.
-func (rly *Relay) Forget(tgt cardamompass.Target) {
+// RemoveTarget closes the idle connections to a target that left and drops its pools.
+func (rly *Relay) RemoveTarget(tgt cardamompass.Target) {
 	rly.mu.Lock()
 	defer rly.mu.Unlock()
 	for _, cls := range []cardamompass.Class{cardamompass.ClassShort, cardamompass.ClassLong} {
--- a/internal/edge/relay/probe.go
+++ b/internal/edge/relay/probe.go
@@ -9,26 +9,26 @@
 	"cardamompass"
 )
 
-// Reach tells what became of a trial connection to a target.
-type Reach int
+// ProbeResult tells what became of a trial connection to a target.
+type ProbeResult int
 
 const (
-	// ReachOpen means that the target accepted the connection: an earlier break was a cut.
-	ReachOpen Reach = iota
-	// ReachRefused means that the target's VM refused the connection: no process listens, as after a crash.
-	ReachRefused
-	// ReachUnclear means that no answer came before the dial timeout, or that the network failed.
-	ReachUnclear
+	// ProbeAccepted means that the target accepted the connection: an earlier break was a cut.
+	ProbeAccepted ProbeResult = iota
+	// ProbeRefused means that the target's VM refused the connection: no process listens, as after a crash.
+	ProbeRefused
+	// ProbeNoResult means that no answer came before the dial timeout, or that the network failed.
+	ProbeNoResult
 )
 
 // String returns the kebab-case name of the reach.
-func (rch Reach) String() string {
+func (rch ProbeResult) String() string {
 	switch rch {
-	case ReachOpen:
+	case ProbeAccepted:
 		return "open"
-	case ReachRefused:
+	case ProbeRefused:
 		return "refused"
-	case ReachUnclear:
+	case ProbeNoResult:
 		return "unclear"
 	default:
 		return "invalid"
@@ -37,15 +37,15 @@
 
 // Probe opens and closes one new connection to tgt, outside its pools. After an UnknownOutcomeError with Broken set it
 // tells a crash of the target from a cut of one connection.
-func (rly *Relay) Probe(ctx context.Context, tgt cardamompass.Target) (rch Reach) {
+func (rly *Relay) Probe(ctx context.Context, tgt cardamompass.Target) (rch ProbeResult) {
 	con, err := rly.dial(ctx, "tcp", tgt.Address, 0)
 	switch {
 	case err == nil:
 		con.Close() //nolint:errcheck // nothing was sent
-		return ReachOpen
+		return ProbeAccepted
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return ReachRefused
+		return ProbeRefused
 	default:
-		return ReachUnclear
+		return ProbeNoResult
 	}
 }
--- a/internal/edge/send/pool.go
+++ b/internal/edge/send/pool.go
@@ -14,15 +14,15 @@
 	"cardamompass/internal/edge/sock"
 )
 
-// connect returns a kept connection that is still silent, or a new one.
+// connect returns an idle connection on which nothing has arrived, or a new one.
 func (snd *Sender) connect(ctx context.Context, ins cardamompass.Instance, msg Message) (con *conn, err error) {
 	for {
-		con = snd.take(ins.ID, msg.Once)
+		con = snd.takeIdle(ins.ID, msg.NonIdempotent)
 		if con == nil {
 			break
 		}
-		// Bytes that arrived while no request was under way belong to no request.
-		if sock.Peek(con.Conn) == sock.Silent {
+		// Bytes that arrived while the connection was idle belong to no request.
+		if sock.Peek(con.Conn) == sock.NoData {
 			return con, nil
 		}
 		_ = con.Close()
@@ -30,77 +30,78 @@
 	now := snd.cfg.Clock.Now()
 	limit := min(dialTimeout, msg.Deadline.Sub(now))
 	if limit <= 0 || ctx.Err() != nil {
-		return nil, notRun(reasonOf(ctx, KindTimeout), errors.New("no time left to connect"))
+		return nil, notSent(kindAfter(ctx, KindTimeout), errors.New("no time left to connect"))
 	}
 	dctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	raw, err := snd.cfg.Dial(dctx, "tcp", ins.Address)
 	if err != nil {
-		kind := reasonOf(ctx, KindConnect)
+		kind := kindAfter(ctx, KindConnect)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			kind = KindRefused
 		}
-		return nil, notRun(kind, err)
+		return nil, notSent(kind, err)
 	}
-	snd.cfg.Opened()
+	snd.cfg.OnConnect()
 	return &conn{
-		Conn:   raw,
-		rdr:    bufio.NewReaderSize(raw, readBufferSize),
-		rested: snd.cfg.Clock.Now(),
+		Conn:      raw,
+		rdr:       bufio.NewReaderSize(raw, readBufferSize),
+		idleSince: snd.cfg.Clock.Now(),
 	}, nil
 }
 
-// take returns the connection that was used last, since the others are closer to the target's idle timeout. While targets are held to
-// forget idle connections it returns none that has rested for longer than sureRest.
-func (snd *Sender) take(id cardamompass.InstanceID, once bool) (con *conn) {
+// takeIdle returns the most recently used connection, because the others are closer to the idle timeout of the target. While idle
+// connections are suspect it returns none that has been idle for longer than safeIdleTime.
+func (snd *Sender) takeIdle(id cardamompass.InstanceID, nonIdempotent bool) (con *conn) {
 	now := snd.cfg.Clock.Now()
 	snd.mu.Lock()
 	defer snd.mu.Unlock()
-	doubted := now.Sub(snd.doubted) // the longest duration while none broke
+	sinceBreak := now.Sub(snd.lastIdleBreak) // the maximum duration if none has broken yet
 	for {
 		list := snd.idle[id]
 		if len(list) == 0 {
 			return nil
 		}
 		con = list[len(list)-1]
-		long := now.Sub(con.rested) > sureRest
-		if once && long && doubted < doubtOnceTime {
-			return nil // stays for a request that may be repeated
+		overSafe := now.Sub(con.idleSince) > safeIdleTime
+		if nonIdempotent && overSafe && sinceBreak < idleSuspectTimeNonIdempotent {
+			return nil // stays in the pool for an idempotent request
 		}
 		snd.idle[id] = list[:len(list)-1]
-		if now.Before(con.usable) && (!long || doubted >= doubtTime) {
+		if now.Before(con.expires) && (!overSafe || sinceBreak >= idleSuspectTime) {
 			return con
 		}
 		_ = con.Close()
 	}
 }
 
-// doubt gives up rested connections for a while, since one that had rested broke under a request.
-func (snd *Sender) doubt(id cardamompass.InstanceID, req cardamompass.RequestID, rested time.Duration) {
+// suspectIdle marks all idle connections as suspect for a while, after a request broke on one that had been idle.
+func (snd *Sender) suspectIdle(id cardamompass.InstanceID, req cardamompass.RequestID, idleFor time.Duration) {
 	snd.mu.Lock()
-	snd.doubted = snd.cfg.Clock.Now()
+	snd.lastIdleBreak = snd.cfg.Clock.Now()
 	snd.mu.Unlock()
 	snd.cfg.Log.Info("idle connections in doubt", zap.String("request", string(req)), zap.String("target", string(id)),
-		zap.Duration("rested", rested), zap.Duration("for", doubtTime))
+		zap.Duration("rested", idleFor), zap.Duration("for", idleSuspectTime))
 }
 
-// forgotten reports whether a request ended as on a connection that its target has forgotten: broken before any answer.
-func forgotten(err error) (ok bool) {
+// brokenBeforeResponse reports whether the connection broke before any part of a response arrived, as it does when the target has
+// silently dropped the idle connection.
+func brokenBeforeResponse(err error) (ok bool) {
 	var fail *Failure
-	return errors.As(err, &fail) && fail.Kind == KindBroken && !fail.Answered
+	return errors.As(err, &fail) && fail.Kind == KindBroken && !fail.HeaderReceived
 }
 
-func (snd *Sender) keep(id cardamompass.InstanceID, con *conn) {
+func (snd *Sender) putIdle(id cardamompass.InstanceID, con *conn) {
 	snd.mu.Lock()
 	defer snd.mu.Unlock()
-	if con.usable.IsZero() {
-		con.usable = snd.cfg.Clock.Now().Add(defaultIdle)
+	if con.expires.IsZero() {
+		con.expires = snd.cfg.Clock.Now().Add(defaultIdleTimeout)
 	}
 	snd.idle[id] = append(snd.idle[id], con)
 }
 
-// Trim closes the idle connections that are too old and those of instances that are not wanted any more.
-func (snd *Sender) Trim(wanted func(id cardamompass.InstanceID) bool) {
+// PruneIdle closes idle connections that have expired and those to instances for which wanted returns false.
+func (snd *Sender) PruneIdle(wanted func(id cardamompass.InstanceID) bool) {
 	now := snd.cfg.Clock.Now()
 	snd.mu.Lock()
 	defer snd.mu.Unlock()
@@ -108,7 +109,7 @@
 		ok := wanted(id)
 		kept := list[:0]
 		for _, con := range list {
-			if ok && now.Before(con.usable) {
+			if ok && now.Before(con.expires) {
 				kept = append(kept, con)
 			} else {
 				_ = con.Close()
@@ -121,8 +122,8 @@
 	}
 }
 
-// Idle returns the number of kept connections.
-func (snd *Sender) Idle() (count int) {
+// IdleCount returns the number of idle connections.
+func (snd *Sender) IdleCount() (count int) {
 	snd.mu.Lock()
 	defer snd.mu.Unlock()
 	for _, list := range snd.idle {
@@ -131,7 +132,7 @@
 	return count
 }
 
-// Dialer returns a dial function whose connections end when the other side stays silent on sent bytes for limit.
+// Dialer returns a dial function whose connections fail when sent bytes stay unacknowledged for limit.
 func Dialer(limit time.Duration) (dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	dlr := &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -144,7 +145,7 @@
 			cerr := raw.Control(func(fd uintptr) {
 				err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(limit.Milliseconds()))
 			})
-			return errors.Wrap(firstError(cerr, err), "set the user timeout")
+			return errors.Wrap(firstError(cerr, err), "set TCP_USER_TIMEOUT")
 		},
 	}
 	return dlr.DialContext
@@ -153,7 +154,7 @@
 const (
 	// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h, in milliseconds.
 	tcpUserTimeout = 0x12
-	// keepAliveInterval and keepAliveCount find a connection that went silent within about two seconds.
+	// keepAliveInterval and keepAliveCount detect an unresponsive connection within about two seconds.
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
--- a/internal/edge/send/send_test.go
+++ b/internal/edge/send/send_test.go
@@ -79,13 +79,13 @@
 	}
 }
 
-// Guards against a request that changes on its way, and against time left that is longer than the caller's.
-func TestWholeAnswer(t *testing.T) {
+// Guards against a request that is changed on its way to the target, and against a remaining time longer than the caller's timeout.
+func TestCompleteResponse(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
 	for _, id := range []string{"r-1", "r-2", "r-3"} {
 		rep, err := snd.Do(t.Context(), ins, message(id))
-		if err != nil || rep.Status != http.StatusOK || string(rep.Body) != ptarg.Body(id) || !rep.Stated.Signed {
+		if err != nil || rep.Status != http.StatusOK || string(rep.Body) != ptarg.Body(id) || !rep.Info.Signed {
 			t.Fatalf("reply %+v, error %v", rep, err)
 		}
 	}
@@ -97,12 +97,12 @@
 		t.Fatalf("time left %q", left)
 	}
 	if tgt.Connections() != 1 {
-		t.Fatalf("%d connections for three requests one after the other", tgt.Connections())
+		t.Fatalf("%d connections for three consecutive requests, want 1", tgt.Connections())
 	}
 }
 
-// Guards against kept connections that are given up once the deadline of their last request has passed: one new connection for each
-// three requests on the sites, though targets keep idle ones for longer.
+// Guards against closing idle connections once the deadline of their last request has passed. This opened a new connection for
+// every third request on the example sites, although targets keep idle connections for longer.
 func TestConnectionOutlivesTheDeadlineOfItsRequest(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
@@ -115,12 +115,12 @@
 		time.Sleep(600 * time.Millisecond)
 	}
 	if tgt.Connections() != 1 {
-		t.Fatalf("%d connections for three requests one after the other", tgt.Connections())
+		t.Fatalf("%d connections for three consecutive requests, want 1", tgt.Connections())
 	}
 }
 
-// Guards against requests that are lost one after the other on idle connections that their targets have forgotten: on martban-net-grown
-// 928 requests of the day 'forgotten-connections' failed, 505 while connections were given up sooner.
+// Guards against losing one request after the other on idle connections that targets have dropped without closing them. On
+// martban-net-grown 928 requests of the day 'forgotten-connections' failed, and 505 when connections were only given up sooner.
 func TestForgottenConnections(t *testing.T) {
 	const targets = 8
 	core, logs := observer.New(zap.InfoLevel)
@@ -131,10 +131,10 @@
 		tgt, ins := newTargetAs(t, fmt.Sprintf("i-%d", num))
 		tgts, inss = append(tgts, tgt), append(inss, ins)
 	}
-	round := func(name string, once bool) (broken int) {
+	round := func(name string, nonIdempotent bool) (broken int) {
 		for num, ins := range inss {
 			msg := message(fmt.Sprintf("%s-%d", name, num))
-			msg.Once = once
+			msg.NonIdempotent = nonIdempotent
 			_, err := snd.Do(t.Context(), ins, msg)
 			var fai *send.Failure
 			switch {
@@ -161,28 +161,28 @@
 		t.Fatalf("%d of %d requests broke soon after the first", broken, targets)
 	}
 	if num := logs.FilterMessage("idle connections in doubt").Len(); num != 1 {
-		t.Fatalf("%d log lines on idle connections, want one", num)
+		t.Fatalf("%d log lines on suspect idle connections, want 1", num)
 	}
 }
 
-// Guards against a failure that claims that a request has not run though it has, and against broken answers that look whole.
+// Guards against reporting as not run a request that has run, and against accepting a truncated response as complete.
 func TestFaultyTargets(t *testing.T) {
 	tests := []struct {
 		fault  ptarg.Fault
-		kind   send.Kind // empty for an answer
+		kind   send.Kind // empty for a response
 		notRun bool
 		status int
 	}{
 		{ptarg.FaultReset, send.KindBroken, false, 0},
 		{ptarg.FaultCut, send.KindBroken, false, 0},
-		{ptarg.FaultGarbage, send.KindGarbled, false, 0},
+		{ptarg.FaultGarbage, send.KindInvalidResponse, false, 0},
 		{ptarg.FaultTwice, "", false, 200},
 		{ptarg.FaultUnframed, "", false, 200},
 		{ptarg.FaultError, "", false, 500},
 		{ptarg.FaultShed, send.KindShed, true, 0},
 		{ptarg.FaultFalse503, "", false, 503},
-		{ptarg.FaultCompressed, send.KindGarbled, false, 0},
-		{ptarg.FaultUnsigned, send.KindGarbled, false, 0},
+		{ptarg.FaultCompressed, send.KindInvalidResponse, false, 0},
+		{ptarg.FaultUnsigned, send.KindInvalidResponse, false, 0},
 		{ptarg.FaultSilent, send.KindTimeout, false, 0},
 	}
 	for _, tst := range tests {
@@ -216,7 +216,7 @@
 	}
 }
 
-// Guards against giving a caller the second answer to an earlier request, which arrives where its own answer is expected.
+// Guards against returning a duplicate response to an earlier request as the response to the current one.
 func TestSurplusAnswerIsSkipped(t *testing.T) {
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -232,11 +232,11 @@
 		}
 		defer con.Close()
 		buf := make([]byte, 4096)
-		for _, answers := range [][]string{{"r-1"}, {"r-1", "r-2"}} {
+		for _, ids := range [][]string{{"r-1"}, {"r-1", "r-2"}} {
 			if _, err = con.Read(buf); err != nil {
 				return
 			}
-			for _, id := range answers {
+			for _, id := range ids {
 				_, _ = con.Write([]byte("HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\n" + id))
 			}
 		}
@@ -255,7 +255,7 @@
 	<-done
 }
 
-// Guards against sending on a connection on which bytes arrived that belong to no request.
+// Guards against reusing a connection on which unexpected bytes have arrived.
 func TestConnectionWithSurplusIsNotReused(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
@@ -263,7 +263,7 @@
 	if _, err := snd.Do(t.Context(), ins, message("r-1")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(100 * time.Millisecond) // the second answer is sent after 20 ms
+	time.Sleep(100 * time.Millisecond) // the duplicate response is sent after 20 ms
 	tgt.Set(ptarg.FaultNone)
 	rep, err := snd.Do(t.Context(), ins, message("r-2"))
 	if err != nil || string(rep.Body) != ptarg.Body("r-2") || tgt.Connections() != 2 {
@@ -271,20 +271,20 @@
 	}
 }
 
-// Guards against the request of one target run by another that got its address.
+// Guards against a request that is run by another target which has taken over the address.
 func TestOtherInstance(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
 	ins.ID = "i-0"
 	_, err := snd.Do(t.Context(), ins, message("r-1"))
 	var fai *send.Failure
-	if !errors.As(err, &fai) || fai.Kind != send.KindOther || !fai.NotRun || len(tgt.Runs()) != 0 {
+	if !errors.As(err, &fai) || fai.Kind != send.KindWrongInstance || !fai.NotRun || len(tgt.Runs()) != 0 {
 		t.Fatalf("error %v, runs %v", err, tgt.Runs())
 	}
 }
 
-// Guards against an unsent request that counts as possibly run, which would keep its caller from coming again.
-func TestNothingListens(t *testing.T) {
+// Guards against reporting an unsent request as possibly run, which would keep its caller from retrying.
+func TestConnectionRefused(t *testing.T) {
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -301,8 +301,8 @@
 	}
 }
 
-// Guards against a sender that waits for ever to write a long body to a target that has answered already, and against the rest of that
-// body being taken for the next request.
+// Guards against blocking on the write of a long body to a target that has already responded, and against the target taking the
+// rest of that body for the next request.
 func TestEarlyAnswerToLongBody(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
@@ -322,7 +322,7 @@
 	}
 }
 
-// Guards against work that goes on at a target after its caller has left.
+// Guards against work that continues at a target after its caller has disconnected.
 func TestCancelClosesTheConnection(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
@@ -343,7 +343,7 @@
 	}
 }
 
-// Guards against a request that is sent on a connection that the target has closed meanwhile.
+// Guards against sending a request on a connection that the target has closed in the meantime.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	snd := newSender(t)
 	var cfg net.ListenConfig
@@ -351,7 +351,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closed := make(chan error) // one value for each connection, once its end is on the way
+	closed := make(chan error) // one value for each connection, once it is closed
 	go func() {
 		defer close(closed)
 		for {
@@ -359,7 +359,7 @@
 			if err != nil {
 				return
 			}
-			closed <- answerAndClose(con)
+			closed <- respondAndClose(con)
 		}
 	}()
 	ins := cardamompass.Instance{
@@ -380,8 +380,8 @@
 	<-closed
 }
 
-// answerAndClose answers one request as one of a connection that stays, and closes the connection.
-func answerAndClose(con net.Conn) (err error) {
+// respondAndClose responds to one request without announcing the close, and closes the connection.
+func respondAndClose(con net.Conn) (err error) {
 	defer con.Close()
 	if _, err = http.ReadRequest(bufio.NewReader(con)); err != nil {
 		return err
--- a/internal/edge/sock/sock.go
+++ b/internal/edge/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock tells what has arrived on a connection without reading it.
+// Package sock reports what has arrived on a connection without reading it.
 package sock
 
 import (
@@ -8,29 +8,29 @@
 	"github.com/pkg/errors"
 )
 
-// State is what has arrived on a connection and was not read yet.
+// State is the state of the receiving side of a connection.
 type State int
 
 // The states of a connection.
 const (
-	// Silent means that nothing has arrived, or that the connection is not one of the operating system.
-	Silent State = iota
-	// Unread means that bytes have arrived.
-	Unread
-	// Ended means that the other side has closed or reset the connection, or that this side has closed it.
-	Ended
+	// NoData means that nothing has arrived, or that the connection is not a socket of the operating system.
+	NoData State = iota
+	// DataPending means that bytes have arrived and were not read yet.
+	DataPending
+	// Closed means that the peer has closed or reset the connection, or that this side has closed it.
+	Closed
 )
 
-// Peek returns the state of con. It neither waits for a read that is under way nor heeds a deadline: a kept connection still has the
-// one of its last request.
+// Peek returns the state of con. It ignores reads in progress and deadlines: an idle connection still has the deadline of its last
+// request.
 func Peek(con net.Conn) (sta State) {
 	sys, ok := con.(syscall.Conn)
 	if !ok {
-		return Silent
+		return NoData
 	}
 	raw, err := sys.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	var buf [1]byte
 	num, perr := 0, error(nil)
@@ -39,12 +39,12 @@
 	})
 	switch {
 	case err != nil:
-		return Ended
+		return Closed
 	case errors.Is(perr, syscall.EAGAIN):
-		return Silent
+		return NoData
 	case perr != nil || num == 0:
-		return Ended
+		return Closed
 	default:
-		return Unread
+		return DataPending
 	}
 }
--- a/internal/edge/sock/sock_test.go
+++ b/internal/edge/sock/sock_test.go
@@ -8,7 +8,7 @@
 	"cardamompass/internal/edge/sock"
 )
 
-// pair returns the two ends of a connection.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	var cfg net.ListenConfig
@@ -33,8 +33,8 @@
 	return near, far
 }
 
-// Guards against ends that are not seen, which send requests of callers that left and use connections that targets have closed, and
-// against silent connections that are given up.
+// Guards against closed connections that are not detected, which sends requests of callers that disconnected and reuses connections
+// that targets have closed, and against open connections that are taken for closed.
 func TestPeek(t *testing.T) {
 	tests := []struct {
 		name string
@@ -44,7 +44,7 @@
 		{
 			name: "nothing arrived",
 			do:   func(*testing.T, *net.TCPConn, *net.TCPConn) {},
-			want: sock.Silent,
+			want: sock.NoData,
 		},
 		{
 			name: "deadline passed",
@@ -54,23 +54,23 @@
 					t.Fatal(err)
 				}
 			},
-			want: sock.Silent,
+			want: sock.NoData,
 		},
 		{
-			name: "read under way",
+			name: "read in progress",
 			do: func(t *testing.T, near, _ *net.TCPConn) {
 				t.Helper()
 				ended := make(chan struct{})
 				go func() {
 					defer close(ended)
-					_, _ = near.Read(make([]byte, 1)) // ends with the connection
+					_, _ = near.Read(make([]byte, 1)) // returns when the connection is closed
 				}()
 				t.Cleanup(func() {
 					near.Close()
 					<-ended
 				})
 			},
-			want: sock.Silent,
+			want: sock.NoData,
 		},
 		{
 			name: "bytes arrived",
@@ -80,15 +80,15 @@
 					t.Fatal(err)
 				}
 			},
-			want: sock.Unread,
+			want: sock.DataPending,
 		},
 		{
-			name: "closed by the other side",
+			name: "closed by the peer",
 			do:   func(_ *testing.T, _, far *net.TCPConn) { far.Close() },
-			want: sock.Ended,
+			want: sock.Closed,
 		},
 		{
-			name: "reset by the other side",
+			name: "reset by the peer",
 			do: func(t *testing.T, _, far *net.TCPConn) {
 				t.Helper()
 				if err := far.SetLinger(0); err != nil {
@@ -96,12 +96,12 @@
 				}
 				far.Close()
 			},
-			want: sock.Ended,
+			want: sock.Closed,
 		},
 		{
 			name: "closed by this side",
 			do:   func(_ *testing.T, near, _ *net.TCPConn) { near.Close() },
-			want: sock.Ended,
+			want: sock.Closed,
 		},
 	}
 	for _, tst := range tests {
@@ -119,7 +119,7 @@
 	one, two := net.Pipe()
 	defer one.Close()
 	defer two.Close()
-	if got := sock.Peek(one); got != sock.Silent {
-		t.Fatalf("state of a pipe %v, want %v", got, sock.Silent)
+	if got := sock.Peek(one); got != sock.NoData {
+		t.Fatalf("state of a pipe %v, want %v", got, sock.NoData)
 	}
 }
