--- a/internal/steer/place/choose.go
+++ b/internal/steer/place/choose.go
@@ -12,77 +12,79 @@
 )
 
 const (
-	// closeRanks is the number of ranked instances among which the fastest is taken. More of them spread an object over more
-	// instances, each of which has to handle it once before it is fast and keeps only some tens of objects.
-	closeRanks = 2
-	// ranksKept is the number of ranked instances that a choice considers at all.
-	ranksKept = 12
-	// spareLoad is the load relative to the slots below which an instance beyond the close ranks, or a second one for the same
-	// request, may be used. Above it, work that is slow there takes the room of work that is fast.
-	spareLoad = 0.34
-	// busyLoad is the mean load of the instances beyond the close ranks, relative to their slots, above which none of them is used. In a
-	// lasting overload an object that comes to one of them pushes out one that is known there, and both become slow.
+	// preferredRanks is the number of top-ranked instances among which the fastest is chosen. A larger number spreads an object over
+	// more instances, each of which has to handle it once before it is fast and keeps only some tens of objects.
+	preferredRanks = 2
+	// maxRanked is the number of top-ranked instances that a choice considers.
+	maxRanked = 12
+	// lightLoad is the load relative to the slots below which a fallback instance, or an instance for a hedge, may be used. Above it,
+	// requests that are slow at the instance take slots from requests that are fast there.
+	lightLoad = 0.34
+	// busyLoad is the mean load of the fallback instances, relative to their slots, above which none of them is used. In a lasting
+	// overload, an object that is new to one of them evicts an object that is warm there, and both become slow.
 	busyLoad = 0.5
-	// warmTime is the time of work on an object that the instance has handled before, relative to other work.
+	// warmTime is the service time for an object that is warm at the instance, relative to one that is not.
 	warmTime = 0.3
-	// unknownFirst is the expected time at the first rank for an object that this VM has not sent before; other VMs probably have.
-	unknownFirst = 0.6
-	// coldSlowness is how much longer work takes at a cold instance.
+	// firstRankTime is the expected service time at the first rank for an object that this VM has not sent there recently. Other VMs
+	// probably have, so the object may be warm.
+	firstRankTime = 0.6
+	// coldSlowness is the factor by which the service time is longer at a cold instance.
 	coldSlowness = 2
-	// waitTime is the mean time of one request ahead in a queue for one slot, relative to work without a warm object.
+	// waitTime is the mean time that one request ahead in the queue of one slot adds, relative to the service time without a warm
+	// object.
 	waitTime = 0.45
-	// spreadTime makes an emptier instance win between equals.
-	spreadTime = 0.1
-	// rankTime keeps an object on its first target while that has room. Targets keep a bounded number of objects, and every further target
-	// of an object takes the place of another one.
+	// loadTime breaks ties in favour of the less loaded instance.
+	loadTime = 0.1
+	// rankTime is the cost of each rank. It keeps an object on its first target while that has free capacity: targets keep a bounded
+	// number of objects, so each further target of an object evicts another object there.
 	rankTime = 0.4
-	// failureTime is the cost of a failure that is certain, in the same unit.
+	// failureTime is the cost of a certain failure, in the same unit.
 	failureTime = 3
 )
 
-// Query asks for an instance.
+// Query describes a request for which an instance is to be chosen.
 type Query struct {
 	Service cardamompass.ServiceName
-	// AffinityHash is the hash of the object; see ObjectHash.
+	// AffinityHash is the result of the function AffinityHash.
 	AffinityHash uint64
-	// Route gives the home regions.
+	// Route gives the regions that may serve the request.
 	Route *cardamompass.Route
-	// Tried are the instances to which the request was sent already.
+	// Tried are the instances to which the request has already been sent.
 	Tried []cardamompass.InstanceID
-	// MaxLoad is the load relative to the slots at which an instance is full for this request.
+	// MaxLoad is the load relative to the slots at which an instance counts as full for this request.
 	MaxLoad float64
-	// Hedge asks for an instance with room to spare, for a second copy of a request that is under way.
+	// Hedge is set for a second attempt while the first is in flight. Only a lightly loaded preferred instance is chosen for it.
 	Hedge bool
 	Now   time.Time
 }
 
-// Choice is an instance and why it was taken.
+// Choice is an instance and the figures on which the choice rests.
 type Choice struct {
 	Instance cardamompass.Instance
-	// Rank is its place in the object's order, 0 the first.
+	// Rank is the position of the instance in the object's order, starting at 0.
 	Rank int
-	// Expected is its expected time relative to usual work without a warm object.
+	// Expected is the expected time relative to the usual service time without a warm object.
 	Expected float64
-	// Load is the number of requests estimated to be there.
+	// Load is the estimated number of requests at the instance.
 	Load float64
-	// LoadAge is the age of the last stated load; negative if there was none.
+	// LoadAge is the age of the last load report; negative if there was none.
 	LoadAge time.Duration
-	// Warm is set when this VM knows that the instance has handled the object.
+	// Warm is set when a recent request of this VM on the object was answered by the instance.
 	Warm bool
 	// Cold is set when the instance is cold.
 	Cold bool
-	// Rejected counts the instances left out.
+	// Rejected counts the instances that were rejected.
 	Rejected Rejected
 }
 
-// Rejected counts instances that a request can't use, by reason.
+// Rejected counts by reason the instances that a request can't use.
 type Rejected struct {
 	Leaving, Evacuated, Away, Tried, Avoided, Cold, Full int
-	// Busy counts those beyond the close ranks that are left to the objects that they know.
+	// Busy counts the fallback instances that were rejected because their mean load is too high.
 	Busy int
 }
 
-// MarshalLogObject implements zapcore.ObjectMarshaler. Reasons without instances are left out.
+// MarshalLogObject implements zapcore.ObjectMarshaler. It omits reasons with a count of zero.
 func (rej Rejected) MarshalLogObject(enc zapcore.ObjectEncoder) (err error) {
 	for _, cnt := range []struct {
 		reason string
@@ -104,21 +106,22 @@
 	return nil
 }
 
-// AffinityHash hashes an object of a service. Objects of one name are different in each service.
+// AffinityHash hashes the affinity key of a request, which names the object that the request is about. The same key of two services
+// names different objects.
 func AffinityHash(svc cardamompass.ServiceName, object string) (hash uint64) {
 	return xxhash.Sum64String(string(svc) + "\x00" + object)
 }
 
-// Choose returns the instance for a request. ok is false when no instance can be used; the choice then holds the reasons.
-func (brd *Balancer) Choose(qry Query) (chc Choice, ok bool) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	ranked, rej := brd.rank(qry)
+// Choose returns the instance for a request. ok is false when no instance can be used; Rejected of the choice then holds the reasons.
+func (bal *Balancer) Choose(qry Query) (chc Choice, ok bool) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	ranked, rej := bal.rank(qry)
 	chc.Rejected = rej
 	if len(ranked) == 0 {
 		return chc, false
 	}
-	best := brd.fastest(qry, ranked, &chc.Rejected)
+	best := bal.fastest(qry, ranked, &chc.Rejected)
 	if best < 0 {
 		return chc, false
 	}
@@ -139,38 +142,38 @@
 	return chc, true
 }
 
-// fastest returns the index of the instance with the smallest expected time among the close ranks that have room, or else that of the
-// first instance with room to spare; -1 if there is none.
-func (brd *Balancer) fastest(qry Query, ranked []candidate, rej *Rejected) (best int) {
-	trl := brd.trail(qry.AffinityHash)
+// fastest returns the index of the preferred instance with the smallest expected time among those that are not full, or else that of
+// the first lightly loaded fallback instance. It returns -1 if there is none.
+func (bal *Balancer) fastest(qry Query, ranked []candidate, rej *Rejected) (best int) {
+	hst := bal.history(qry.AffinityHash)
 	limit := qry.MaxLoad
 	if qry.Hedge {
-		limit = spareLoad
+		limit = lightLoad
 	}
 	best = -1
-	for num := range ranked[:min(len(ranked), closeRanks)] {
+	for num := range ranked[:min(len(ranked), preferredRanks)] {
 		cnd := &ranked[num]
-		brd.expect(cnd, num, trl, qry.Now)
+		bal.estimate(cnd, num, hst, qry.Now)
 		if cnd.full(limit) {
 			rej.Full++
 		} else if best < 0 || cnd.expected < ranked[best].expected {
 			best = num
 		}
 	}
-	// A second copy beyond the close ranks would hardly be in time and take the room of fast work.
-	if best >= 0 || qry.Hedge || len(ranked) <= closeRanks {
+	// A hedge on a fallback instance would rarely answer in time and would take slots from fast requests.
+	if best >= 0 || qry.Hedge || len(ranked) <= preferredRanks {
 		return best
 	}
-	return brd.beyond(qry, ranked, trl, rej)
+	return bal.fallback(qry, ranked, hst, rej)
 }
 
-// beyond returns the index of the first instance beyond the close ranks with room to spare, -1 if there is none or if these instances
-// are busy together.
-func (brd *Balancer) beyond(qry Query, ranked []candidate, trl *trail, rej *Rejected) (first int) {
-	others := ranked[closeRanks:]
+// fallback returns the index of the first lightly loaded instance after the preferred ranks. It returns -1 if there is none or if the
+// mean load of these instances is above busyLoad.
+func (bal *Balancer) fallback(qry Query, ranked []candidate, hst *history, rej *Rejected) (first int) {
+	others := ranked[preferredRanks:]
 	load := 0.0
 	for num := range others {
-		brd.expect(&others[num], closeRanks+num, trl, qry.Now)
+		bal.estimate(&others[num], preferredRanks+num, hst, qry.Now)
 		load += others[num].load / others[num].slots()
 	}
 	if load > busyLoad*float64(len(others)) {
@@ -178,44 +181,45 @@
 		return -1
 	}
 	for num := range others {
-		if !others[num].full(spareLoad) {
-			return closeRanks + num
+		if !others[num].full(lightLoad) {
+			return preferredRanks + num
 		}
 		rej.Full++
 	}
 	return -1
 }
 
-// candidate is an instance in the order of an object.
+// candidate is an instance with its position in the order of an object and its estimates.
 type candidate struct {
-	sta      *state
-	order    int // 0 for the region of the object, 1 for the own region, 2 for others
-	hash     uint64
-	load     float64
-	expected float64
-	warm     bool
+	sta        *state
+	regionRank int // 0 for the region that serves the object, 1 for the own region, 2 for others
+	hash       uint64
+	load       float64
+	expected   float64
+	warm       bool
 }
 
-// slots is the number of the instance's slots, at least 1.
+// slots returns the number of the instance's slots, at least 1.
 func (cnd *candidate) slots() (count float64) { return float64(max(1, cnd.sta.ins.Slots)) }
 
-// full reports whether the load has reached a limit relative to the slots.
+// full reports whether the load has reached limit times the slots.
 func (cnd *candidate) full(limit float64) (ok bool) { return cnd.load >= limit*cnd.slots() }
 
-// rank returns the first usable instances in the order of the object. Instances to avoid are used only when there are no others.
-func (brd *Balancer) rank(qry Query) (ranked []candidate, rej Rejected) {
-	div := brd.division(qry.Service, qry.Now)
-	region := regionOf(div, brd.cfg.Region, float64(qry.AffinityHash>>11)/(1<<53))
+// rank returns the first maxRanked usable instances in the order of the object. Avoided instances are returned only when there are no
+// others.
+func (bal *Balancer) rank(qry Query) (ranked []candidate, rej Rejected) {
+	div := bal.split(qry.Service, qry.Now)
+	region := servingRegion(div, bal.cfg.Region, float64(qry.AffinityHash>>11)/(1<<53))
 	var avoided []candidate
-	ranked = make([]candidate, 0, ranksKept+1)
-	for _, sta := range brd.byService[qry.Service] {
-		if !brd.usable(qry, sta, &rej) {
+	ranked = make([]candidate, 0, maxRanked+1)
+	for _, sta := range bal.byService[qry.Service] {
+		if !bal.usable(qry, sta, &rej) {
 			continue
 		}
 		cnd := candidate{
-			sta:   sta,
-			order: regionOrder(sta.ins.Region, region, brd.cfg.Region),
-			hash:  mix(qry.AffinityHash, sta.hash),
+			sta:        sta,
+			regionRank: regionRank(sta.ins.Region, region, bal.cfg.Region),
+			hash:       mix(qry.AffinityHash, sta.hash),
 		}
 		if qry.Now.Before(sta.avoidUntil) {
 			rej.Avoided++
@@ -230,39 +234,39 @@
 	return ranked, rej
 }
 
-// insert puts a candidate into its place and keeps the first ranksKept.
+// insert inserts a candidate in order and keeps the first maxRanked.
 func insert(ranked []candidate, cnd candidate) (out []candidate) {
 	pos := len(ranked)
 	for pos > 0 && cnd.before(ranked[pos-1]) {
 		pos--
 	}
-	if pos == ranksKept {
+	if pos == maxRanked {
 		return ranked
 	}
 	ranked = slices.Insert(ranked, pos, cnd)
-	return ranked[:min(len(ranked), ranksKept)]
+	return ranked[:min(len(ranked), maxRanked)]
 }
 
-// before reports whether the candidate comes before another in the order of the object.
+// before reports whether the candidate precedes oth in the order of the object.
 func (cnd candidate) before(oth candidate) (ok bool) {
-	if cnd.order != oth.order {
-		return cnd.order < oth.order
+	if cnd.regionRank != oth.regionRank {
+		return cnd.regionRank < oth.regionRank
 	}
 	return cnd.hash > oth.hash
 }
 
-func (brd *Balancer) usable(qry Query, sta *state, rej *Rejected) (ok bool) {
+func (bal *Balancer) usable(qry Query, sta *state, rej *Rejected) (ok bool) {
 	ins := &sta.ins
 	switch {
 	case ins.Leaving:
 		rej.Leaving++
-	case brd.vew.Evacuated(ins.FailureDomain):
+	case bal.vew.Evacuated(ins.FailureDomain):
 		rej.Evacuated++
 	case !qry.Route.AllowsRegion(ins.Region):
 		rej.Away++
 	case slices.Contains(qry.Tried, ins.ID):
 		rej.Tried++
-	case qry.Now.Before(sta.coldUntil) && !sta.coldRoom(brd.coldQuota(ins, qry.Now), qry.Now):
+	case qry.Now.Before(sta.coldUntil) && !sta.withinColdQuota(bal.coldQuota(ins, qry.Now), qry.Now):
 		rej.Cold++
 	default:
 		return true
@@ -270,12 +274,12 @@
 	return false
 }
 
-// coldQuota is the number of requests a second that this VM may send to a cold instance. The quotas of all VMs add up to the bound,
-// less one for the requests that cross a change of the number of VMs.
-func (brd *Balancer) coldQuota(ins *cardamompass.Instance, now time.Time) (quota int) {
-	total := int(math.Floor(brd.policy(ins.Service).ColdRate*brd.cfg.ColdOverage+brd.cfg.ColdSlack)) - 1
-	count := brd.vms.count(now)
-	if now.Sub(brd.started) < acquaintance && count < len(brd.cfg.Regions) {
+// coldQuota returns the number of requests a second that this VM may send to a cold instance. The quotas of all VMs add up to the bound
+// less one, which allows for requests that are sent while the number of VMs changes.
+func (bal *Balancer) coldQuota(ins *cardamompass.Instance, now time.Time) (quota int) {
+	total := int(math.Floor(bal.policy(ins.Service).ColdRate*bal.cfg.ColdOverage+bal.cfg.ColdSlack)) - 1
+	count := bal.vms.count(now)
+	if now.Sub(bal.started) < discoveryTime && count < len(bal.cfg.Regions) {
 		return 0
 	}
 	quota = total / count
@@ -283,10 +287,10 @@
 		return quota
 	}
 	seed := xxhash.Sum64String(string(ins.ID))
-	own := mix(seed, nameHash(string(brd.cfg.Self)))
+	own := mix(seed, nameHash(string(bal.cfg.Self)))
 	before := 0
-	for _, vmc := range brd.vew.VMs() {
-		if vmc.ID != brd.cfg.Self && mix(seed, nameHash(string(vmc.ID))) < own {
+	for _, vmc := range bal.vew.VMs() {
+		if vmc.ID != bal.cfg.Self && mix(seed, nameHash(string(vmc.ID))) < own {
 			before++
 		}
 	}
@@ -296,32 +300,32 @@
 	return quota
 }
 
-// expect estimates the time that the request takes at a candidate.
-func (brd *Balancer) expect(cnd *candidate, rank int, trl *trail, now time.Time) {
+// estimate sets the load, the warmth and the expected time of a candidate.
+func (bal *Balancer) estimate(cnd *candidate, rank int, hst *history, now time.Time) {
 	sta := cnd.sta
 	slots := cnd.slots()
-	cnd.load = sta.estimate(now)
-	cnd.warm = trl.warm(sta.ins.ID, now)
+	cnd.load = sta.estimatedLoad(now)
+	cnd.warm = hst.warm(sta.ins.ID, now)
 	work := 1.0
 	switch {
 	case cnd.warm:
 		work = warmTime
 	case rank == 0:
-		work = unknownFirst
+		work = firstRankTime
 	}
 	if now.Before(sta.coldUntil) {
 		work *= coldSlowness
 	}
 	cnd.expected = work*sta.slowness(now) +
 		waitTime*max(0, cnd.load+1-slots)/slots +
-		spreadTime*cnd.load/slots +
+		loadTime*cnd.load/slots +
 		rankTime*float64(rank) +
 		failureTime*sta.failureRate(now)
 }
 
-func regionOrder(reg, wanted, own cardamompass.Region) (order int) {
+func regionRank(reg, serving, own cardamompass.Region) (order int) {
 	switch reg {
-	case wanted:
+	case serving:
 		return 0
 	case own:
 		return 1
@@ -330,7 +334,7 @@
 	}
 }
 
-// mix combines two hashes, well enough spread to order instances for an object. It is the finalizer of a 64-bit mixing function.
+// mix combines two hashes with the finalizer of a 64-bit mixing function. The result is spread evenly enough for rendezvous hashing.
 func mix(one, two uint64) (hash uint64) {
 	hash = one ^ (two * 0x9e3779b97f4a7c15)
 	hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/steer/place/dump.go
+++ b/internal/steer/place/dump.go
@@ -9,12 +9,12 @@
 	"cardamompass"
 )
 
-// Dump is the state of a Board for operators.
+// Dump is the state of a Balancer for the state dump.
 type Dump struct {
 	// VMs is the number of VMs among which common budgets are divided.
 	VMs int `json:"vms"`
-	// Parts is, for each service, the part of the own region's objects that each region serves.
-	Parts   map[cardamompass.ServiceName]map[cardamompass.Region]float64 `json:"parts"`
+	// Splits is, for each service, the fraction of the own region's objects that each region serves.
+	Splits  map[cardamompass.ServiceName]map[cardamompass.Region]float64 `json:"parts"`
 	Targets []TargetDump                                                 `json:"targets"`
 }
 
@@ -25,33 +25,33 @@
 	Domain   cardamompass.FailureDomain `json:"failure-domain"`
 	Leaving  bool                       `json:"leaving"`
 	InFlight int                        `json:"in-flight"`
-	// Load is the estimated number of requests there; LoadAge is the age of the last statement, in seconds.
+	// Load is the estimated number of requests at the instance; LoadAge is the age of the last load report in seconds.
 	Load     float64 `json:"load"`
 	LoadAge  float64 `json:"load-age"`
 	Slowness float64 `json:"slowness"`
 	Failures float64 `json:"failures"`
-	// AvoidFor and ColdFor are in seconds, 0 if not.
+	// AvoidFor and ColdFor are the remaining times in seconds, 0 if the instance is not avoided or not cold.
 	AvoidFor float64 `json:"avoid-for"`
 	ColdFor  float64 `json:"cold-for"`
 }
 
-// Dump returns the state at a time.
-func (brd *Balancer) Dump(now time.Time) (dmp Dump) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	dmp.VMs = brd.vms.count(now)
-	dmp.Parts = make(map[cardamompass.ServiceName]map[cardamompass.Region]float64)
-	for svc, prt := range brd.parts {
-		dmp.Parts[svc] = maps.Clone(prt.now)
+// Dump returns the state at now.
+func (bal *Balancer) Dump(now time.Time) (dmp Dump) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	dmp.VMs = bal.vms.count(now)
+	dmp.Splits = make(map[cardamompass.ServiceName]map[cardamompass.Region]float64)
+	for svc, spl := range bal.splits {
+		dmp.Splits[svc] = maps.Clone(spl.current)
 	}
-	for id, sta := range brd.states {
+	for id, sta := range bal.states {
 		dmp.Targets = append(dmp.Targets, TargetDump{
 			Instance: id,
 			Service:  sta.ins.Service,
 			Domain:   sta.ins.FailureDomain,
 			Leaving:  sta.ins.Leaving,
 			InFlight: sta.inFlight,
-			Load:     sta.estimate(now),
+			Load:     sta.estimatedLoad(now),
 			LoadAge:  now.Sub(sta.loadAt).Seconds(),
 			Slowness: sta.slowness(now),
 			Failures: sta.failureRate(now),
--- a/internal/steer/place/place.go
+++ b/internal/steer/place/place.go
@@ -1,13 +1,15 @@
-// Package place chooses the target of a request.
+// Package place chooses the target instance of a request.
 //
-// Work on an object is faster at an instance that has handled the object before. Every VM therefore ranks the instances of a service
-// alike for an object, by rendezvous hashing, and takes among the first few the one with the smallest expected time, from the load
-// and the slowness that instances state with their answers and from the VM's own requests under way.
+// An instance is faster on objects that it has handled before: these are warm there. Every VM therefore ranks the instances of a service
+// by rendezvous hashing, which gives the same order for an object at every VM. Among the first few, the preferred instances, it chooses
+// the one with the smallest expected time. The estimate uses the load and the slowness that instances report with their responses, and
+// the VM's own requests in flight. The instances after these are fallbacks, used while they are lightly loaded.
 //
-// A region keeps the part of its objects that its part of the slots can carry; the others go to regions with room. The parts follow
-// from the registrations, so VMs agree without talking, and they move slowly, so that the cap on shifts between regions holds.
+// A region serves the fraction of its callers' objects that its fraction of the slots can carry; other regions with free capacity serve
+// the rest. This split follows from the registrations, so that VMs agree on it without communication. It changes slowly, so that the cap
+// on shifts between regions holds.
 //
-// A cold instance gets a number of requests a second that is divided among the running VMs.
+// The rate of requests that a cold instance accepts is divided among the running VMs.
 package place
 
 import (
@@ -20,19 +22,19 @@
 
 // Config configures a Board.
 type Config struct {
-	// Self and Region are this VM and its region, whose callers it serves.
+	// Self is this VM. Region is its region, whose callers it serves.
 	Self   cardamompass.VMID
 	Region cardamompass.Region
-	// Regions maps failure domains to regions. Callers are taken to be spread evenly over the failure domains.
+	// Regions maps failure domains to regions. Callers are assumed to be spread evenly over the failure domains.
 	Regions map[cardamompass.FailureDomain]cardamompass.Region
 	// ColdOverage and ColdSlack bound the requests a second to a cold instance: its rate times the overage plus the slack.
 	ColdOverage float64
 	ColdSlack   float64
-	// MaxRegionShift is the part of a region's requests that may change the serving region within two seconds.
+	// MaxRegionShift is the fraction of a region's requests that may change the serving region within two seconds.
 	MaxRegionShift float64
 }
 
-// Balancer knows the state of every instance and chooses among them. It is safe for concurrent use and reads no clock.
+// Balancer tracks the state of every instance and chooses among them. It is safe for concurrent use and reads no clock.
 type Balancer struct {
 	cfg Config
 
@@ -41,99 +43,102 @@
 	states map[cardamompass.InstanceID]*state
 	// byService lists the states of a service's instances.
 	byService map[cardamompass.ServiceName][]*state
-	parts     map[cardamompass.ServiceName]*parts
-	trails    map[uint64]*trail
-	vms       census
-	// heard is the number of VMs that run by their own word, started when the first view came.
-	heard   int
+	splits    map[cardamompass.ServiceName]*regionSplit
+	histories map[uint64]*history
+	vms       vmCounter
+	// running is the number of VMs that announce that they run. started is the time of the first Sync.
+	running int
 	started time.Time
 }
 
-// New returns a Board that knows no instance.
-func New(cfg Config) (brd *Balancer) {
+// New returns a Balancer without instances.
+func New(cfg Config) (bal *Balancer) {
 	return &Balancer{
-		cfg:    cfg,
-		vew:    view.Empty(),
-		states: make(map[cardamompass.InstanceID]*state),
-		parts:  make(map[cardamompass.ServiceName]*parts),
-		trails: make(map[uint64]*trail),
+		cfg:       cfg,
+		vew:       view.Empty(),
+		states:    make(map[cardamompass.InstanceID]*state),
+		splits:    make(map[cardamompass.ServiceName]*regionSplit),
+		histories: make(map[uint64]*history),
 	}
 }
 
-// Sync takes over a new view of the fleet.
-func (brd *Balancer) Sync(vew *view.View, now time.Time) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	old := brd.vew
-	brd.vew = vew
-	brd.recount(now)
-	if brd.started.IsZero() {
-		brd.started = now
+// Sync replaces the view of the fleet.
+func (bal *Balancer) Sync(vew *view.View, now time.Time) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	old := bal.vew
+	bal.vew = vew
+	bal.updateVMCount(now)
+	if bal.started.IsZero() {
+		bal.started = now
 	}
 	for _, ins := range vew.All() {
-		sta, known := brd.states[ins.ID]
+		sta, known := bal.states[ins.ID]
 		if !known || !sta.ins.SameStart(ins) {
 			sta = newState(ins)
-			brd.states[ins.ID] = sta
+			bal.states[ins.ID] = sta
 			sta.coldUntil = now.Add(ins.ColdFor)
 		}
 		if old.Evacuated(ins.FailureDomain) && !vew.Evacuated(ins.FailureDomain) {
-			// Targets of an evacuated failure domain may have become cold meanwhile.
-			sta.coldUntil = later(sta.coldUntil, now.Add(brd.policy(ins.Service).ColdFor))
+			// Targets of an evacuated failure domain may have become cold in the meantime.
+			sta.coldUntil = later(sta.coldUntil, now.Add(bal.policy(ins.Service).ColdFor))
 		}
 		if ins.ColdFor > sta.ins.ColdFor {
 			sta.coldUntil = later(sta.coldUntil, now.Add(ins.ColdFor))
 		}
 		sta.ins = ins
 	}
-	for id := range brd.states {
+	for id := range bal.states {
 		if _, ok := vew.Instance(id); !ok {
-			delete(brd.states, id)
+			delete(bal.states, id)
 		}
 	}
-	brd.byService = make(map[cardamompass.ServiceName][]*state)
-	for _, sta := range brd.states {
-		brd.byService[sta.ins.Service] = append(brd.byService[sta.ins.Service], sta)
+	bal.byService = make(map[cardamompass.ServiceName][]*state)
+	for _, sta := range bal.states {
+		bal.byService[sta.ins.Service] = append(bal.byService[sta.ins.Service], sta)
 	}
-	for _, prt := range brd.parts {
-		prt.want = nil
+	for _, spl := range bal.splits {
+		spl.goal = nil
 	}
 }
 
-func (brd *Balancer) policy(svc cardamompass.ServiceName) (pol cardamompass.ServicePolicy) {
-	if brd.vew.Table == nil {
+func (bal *Balancer) policy(svc cardamompass.ServiceName) (pol cardamompass.ServicePolicy) {
+	if bal.vew.Table == nil {
 		return pol
 	}
-	return brd.vew.Table.Services[svc]
+	return bal.vew.Table.Services[svc]
 }
 
-// SetRunningVMs takes the number of VMs that run by their own word, this one included.
-func (brd *Balancer) SetRunningVMs(count int, now time.Time) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	brd.heard = count
-	brd.recount(now)
+// SetRunningVMs sets the number of VMs that announce that they run, this one included.
+func (bal *Balancer) SetRunningVMs(count int, now time.Time) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	bal.running = count
+	bal.updateVMCount(now)
 }
 
-// recount notes the present number of VMs: the larger of those that the store names and those that were heard.
-func (brd *Balancer) recount(now time.Time) { brd.vms.note(max(brd.heard, len(brd.vew.VMs())), now) }
+// updateVMCount records the current number of VMs, which is the larger of the number in the view and the number of those that announce
+// themselves.
+func (bal *Balancer) updateVMCount(now time.Time) {
+	bal.vms.record(max(bal.running, len(bal.vew.VMs())), now)
+}
 
-// VMs returns the number of VMs among which common budgets are divided, at least 1. A VM that has just started may not know the others
-// yet and takes them to be as many as there are failure domains.
-func (brd *Balancer) VMs(now time.Time) (count int) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	if now.Sub(brd.started) < acquaintance {
-		return max(len(brd.cfg.Regions), brd.vms.count(now), 1)
+// VMs returns the number of VMs among which common budgets are divided, at least 1. A VM that has just started may not have discovered
+// the others yet and assumes at least one VM for each failure domain.
+func (bal *Balancer) VMs(now time.Time) (count int) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	if now.Sub(bal.started) < discoveryTime {
+		return max(len(bal.cfg.Regions), bal.vms.count(now), 1)
 	}
-	return brd.vms.count(now)
+	return bal.vms.count(now)
 }
 
-// RecordSent notes that a request goes to an instance.
-func (brd *Balancer) RecordSent(id cardamompass.InstanceID, now time.Time) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	if sta, ok := brd.states[id]; ok {
+// RecordSent records that a request is sent to an instance.
+func (bal *Balancer) RecordSent(id cardamompass.InstanceID, now time.Time) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	if sta, ok := bal.states[id]; ok {
 		sta.inFlight++
 		if now.Before(sta.coldUntil) {
 			sta.coldSent = append(sta.coldSent, now)
@@ -141,56 +146,56 @@
 	}
 }
 
-// RecordPeerLoad takes a load that an instance stated to another VM some time ago.
-func (brd *Balancer) RecordPeerLoad(id cardamompass.InstanceID, lod cardamompass.Load, age time.Duration, now time.Time) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	if sta, ok := brd.states[id]; ok && now.Add(-age).After(sta.loadAt) {
-		sta.stated(lod, now.Add(-age))
+// RecordPeerLoad records a load that an instance reported to another VM. age is the time since that report.
+func (bal *Balancer) RecordPeerLoad(id cardamompass.InstanceID, lod cardamompass.Load, age time.Duration, now time.Time) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	if sta, ok := bal.states[id]; ok && now.Add(-age).After(sta.loadAt) {
+		sta.setLoad(lod, now.Add(-age))
 	}
 }
 
-// Result is what became of a request at an instance.
+// Result is the way in which a request to an instance ended.
 type Result uint8
 
 const (
-	// ResultAnswered is an answer other than a failure.
+	// ResultAnswered means that the target returned a response other than an error.
 	ResultAnswered Result = iota
-	// ResultFailed is a failure that the target answered, or an answer that broke.
+	// ResultFailed means that the target returned an error, or that its response broke off.
 	ResultFailed
-	// ResultShed is a request that the target refused to run.
+	// ResultShed means that the target refused to run the request.
 	ResultShed
-	// ResultGone is an address at which the instance is not.
+	// ResultGone means that the instance is no longer at its address.
 	ResultGone
-	// ResultUnreachable is an instance to which no connection could be opened.
+	// ResultUnreachable means that no connection to the instance could be opened.
 	ResultUnreachable
-	// ResultSilent is a deadline that passed without an answer.
+	// ResultSilent means that the deadline passed without a response.
 	ResultSilent
-	// ResultDropped is a request that this VM gave up; it says nothing of the instance.
+	// ResultDropped means that this VM cancelled the request; it has no bearing on the state of the instance.
 	ResultDropped
 )
 
-// Outcome is a Result with what the instance stated.
+// Outcome is a Result with the load that the instance reported.
 type Outcome struct {
 	Instance cardamompass.InstanceID
-	// AffinityHash is the hash of the object, as in Query.
+	// AffinityHash is that of the Query.
 	AffinityHash uint64
 	Result       Result
 	Load         *cardamompass.Load
 }
 
-// RecordOutcome notes what became of a request for which Sent was called.
-func (brd *Balancer) RecordOutcome(out Outcome, now time.Time) {
-	brd.mu.Lock()
-	defer brd.mu.Unlock()
-	sta, ok := brd.states[out.Instance]
+// RecordOutcome records the outcome of a request for which RecordSent was called.
+func (bal *Balancer) RecordOutcome(out Outcome, now time.Time) {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	sta, ok := bal.states[out.Instance]
 	if !ok {
 		return
 	}
 	sta.inFlight = max(0, sta.inFlight-1)
-	sta.note(out, now)
+	sta.recordOutcome(out, now)
 	if out.Result == ResultAnswered {
-		brd.trail(out.AffinityHash).note(out.Instance, now)
+		bal.history(out.AffinityHash).record(out.Instance, now)
 	}
 }
 
--- a/internal/steer/place/place_test.go
+++ b/internal/steer/place/place_test.go
@@ -21,12 +21,12 @@
 
 const service = cardamompass.ServiceName("svc")
 
-// regions are two failure domains in each of three regions.
+// regions maps two failure domains to each of three regions.
 var regions = map[cardamompass.FailureDomain]cardamompass.Region{
 	"a-1": "a", "a-2": "a", "b-1": "b", "b-2": "b", "c-1": "c", "c-2": "c",
 }
 
-// fleet is a view with a number of targets in each failure domain and a number of VMs.
+// fleet builds a view with a number of VMs and a number of targets in each failure domain.
 type fleet struct {
 	changes []cardamompass.Change
 	targets int
@@ -79,7 +79,7 @@
 	return view.Empty().WithListing(flt.changes, 1, view.Outage{}, start)
 }
 
-func newBoard(num int) (brd *place.Balancer) {
+func newBoard(num int) (bal *place.Balancer) {
 	return place.New(place.Config{
 		Self:           cardamompass.VMID(fmt.Sprintf("vm-%d", num)),
 		Region:         "a",
@@ -100,7 +100,7 @@
 	}
 }
 
-// Guards against VMs that place the same object on different targets, where it is slow on each.
+// Guards against VMs that choose different targets for the same object, which is then slow on each of them.
 func TestVMsAgreeOnTheTargetOfAnObject(t *testing.T) {
 	vew := newFleet(7).with("a-1", 5).with("a-2", 5).with("b-1", 5).with("c-1", 5).view()
 	one, two := newBoard(1), newBoard(2)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Guards against requests to targets that must not get any.
+// Guards against the choice of a target that must not get the request.
 func TestUnusableTargets(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -143,9 +143,9 @@
 			if tst.query != nil {
 				tst.query(&qry)
 			}
-			brd := newBoard(1)
-			brd.Sync(flt.view(), start)
-			chc, ok := brd.Choose(qry)
+			bal := newBoard(1)
+			bal.Sync(flt.view(), start)
+			chc, ok := bal.Choose(qry)
 			if ok || tst.count(chc.Rejected) != 1 {
 				t.Fatalf("choice %+v", chc)
 			}
@@ -153,7 +153,8 @@
 	}
 }
 
-// Guards against more requests to a cold target than it bears, summed over all VMs, whatever their number and the time of the requests.
+// Guards against a rate of requests to a cold target, summed over all VMs, above its bound for any number of VMs and any timing of the
+// requests.
 func TestColdTargetIsSharedByAllVMs(t *testing.T) {
 	const bound = 7*1.5 + 5
 	params := gopter.DefaultTestParameters()
@@ -167,16 +168,16 @@
 		boards := make([]*place.Balancer, vms)
 		for num := range boards {
 			boards[num] = newBoard(num)
-			boards[num].Sync(newFleet(vms).view(), start.Add(-time.Minute)) // the VMs run for a while when the target starts
+			boards[num].Sync(newFleet(vms).view(), start.Add(-time.Minute)) // the VMs started long before the target
 			boards[num].Sync(vew, start)
 		}
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var sent []time.Time
 		for now := start; now.Before(start.Add(2500 * time.Millisecond)); now = now.Add(time.Duration(rng.IntN(5)) * time.Millisecond) {
-			brd := boards[rng.IntN(vms)]
-			if chc, ok := brd.Choose(query(rng.Uint64(), now)); ok {
-				brd.RecordSent(chc.Instance.ID, now)
-				brd.RecordOutcome(place.Outcome{
+			bal := boards[rng.IntN(vms)]
+			if chc, ok := bal.Choose(query(rng.Uint64(), now)); ok {
+				bal.RecordSent(chc.Instance.ID, now)
+				bal.RecordOutcome(place.Outcome{
 					Instance: chc.Instance.ID,
 				}, now)
 				sent = append(sent, now)
@@ -198,8 +199,9 @@
 	prp.TestingRun(t)
 }
 
-// Guards against a VM that has just started and takes the whole allowance of a cold target, because the entries of the other VMs have
-// lapsed with the store: 'store-down-crash-release --seed 302751198589' on martban-net broke FAILBACK with 11 requests in one second.
+// Guards against a VM that has just started and uses the whole quota of a cold target, because the entries of the other VMs expired
+// during an outage of the store. In 'store-down-crash-release --seed 302751198589' on martban-net this broke FAILBACK with 11 requests
+// in one second.
 func TestColdTargetAndRestartedVM(t *testing.T) {
 	const bound = 7*1.5 + 5
 	cold := func(vms int) (vew *view.View) {
@@ -209,15 +211,15 @@
 	}
 	sent := 0
 	for num := range 7 {
-		brd := newBoard(num)
+		bal := newBoard(num)
 		vms := 7
 		if num == 0 {
-			vms = 0 // it sees no other VM yet
+			vms = 0 // this VM has not discovered the others
 		}
-		brd.Sync(cold(vms), start)
+		bal.Sync(cold(vms), start)
 		for now := start; now.Before(start.Add(time.Second)); now = now.Add(20 * time.Millisecond) {
-			if chc, ok := brd.Choose(query(1, now)); ok {
-				brd.RecordSent(chc.Instance.ID, now)
+			if chc, ok := bal.Choose(query(1, now)); ok {
+				bal.RecordSent(chc.Instance.ID, now)
 				sent++
 			}
 		}
@@ -228,42 +230,42 @@
 	alone := newBoard(0)
 	alone.Sync(cold(0), start)
 	if _, ok := alone.Choose(query(1, start.Add(2900*time.Millisecond))); ok {
-		t.Fatal("a VM that does not know the others yet sends to a cold target")
+		t.Fatal("a VM that has not discovered the others sends to a cold target")
 	}
 }
 
-// Guards against a VM that has just started and takes the whole common budget of repeats, because it sees no other VM yet.
+// Guards against a VM that has just started and uses the whole retry budget of all VMs, because it has not discovered the others.
 func TestVMsAfterAStart(t *testing.T) {
-	brd := newBoard(1)
-	brd.Sync(newFleet(1).view(), start)
-	if got := brd.VMs(start.Add(time.Second)); got != len(regions) {
+	bal := newBoard(1)
+	bal.Sync(newFleet(1).view(), start)
+	if got := bal.VMs(start.Add(time.Second)); got != len(regions) {
 		t.Errorf("%d VMs a second after the start, want one for each failure domain", got)
 	}
-	if got := brd.VMs(start.Add(time.Minute)); got != 1 {
+	if got := bal.VMs(start.Add(time.Minute)); got != 1 {
 		t.Errorf("%d VMs a minute after the start, want 1", got)
 	}
 }
 
-// Guards against VMs that are forgotten with their entries although they are heard.
-func TestHeardVMsCount(t *testing.T) {
-	brd := newBoard(1)
-	brd.Sync(newFleet(1).view(), start)
-	brd.SetRunningVMs(7, start)
-	brd.Sync(newFleet(1).view(), start.Add(time.Minute))
-	if got := brd.VMs(start.Add(time.Minute)); got != 7 {
+// Guards against VMs that are no longer counted once their entries have expired, although they announce that they run.
+func TestRunningVMsCount(t *testing.T) {
+	bal := newBoard(1)
+	bal.Sync(newFleet(1).view(), start)
+	bal.SetRunningVMs(7, start)
+	bal.Sync(newFleet(1).view(), start.Add(time.Minute))
+	if got := bal.VMs(start.Add(time.Minute)); got != 7 {
 		t.Fatalf("%d VMs, want 7", got)
 	}
 }
 
-// Guards against a shift of more objects between regions than the cap allows when targets come or go elsewhere.
+// Guards against a shift of more objects between regions than the cap allows when targets are added or removed.
 func TestRegionsShiftSlowly(t *testing.T) {
 	flt := newFleet(7).with("a-1", 1).with("a-2", 1).with("b-1", 5).with("b-2", 5).with("c-1", 5).with("c-2", 5)
-	brd := newBoard(1)
-	brd.Sync(flt.view(), start)
+	bal := newBoard(1)
+	bal.Sync(flt.view(), start)
 	served := func(now time.Time) (part map[cardamompass.Region]float64) {
 		part = make(map[cardamompass.Region]float64)
 		for object := range uint64(2000) {
-			chc, ok := brd.Choose(query(place.AffinityHash(service, fmt.Sprint(object)), now))
+			chc, ok := bal.Choose(query(place.AffinityHash(service, fmt.Sprint(object)), now))
 			if !ok {
 				t.Fatal("no target")
 			}
@@ -275,7 +277,7 @@
 	if before["a"] > 0.5 {
 		t.Fatalf("the small region keeps %v", before)
 	}
-	brd.Sync(flt.with("a-1", 20).view(), start)
+	bal.Sync(flt.with("a-1", 20).view(), start)
 	for now := start; now.Before(start.Add(30 * time.Second)); now = now.Add(2 * time.Second) {
 		after := served(now.Add(2 * time.Second))
 		moved := 0.0
@@ -288,23 +290,23 @@
 		before = after
 	}
 	if before["a"] < 0.95 {
-		t.Fatalf("the region keeps %v although it has room for all", before)
+		t.Fatalf("the region keeps %v although it has slots for all", before)
 	}
 }
 
-// Guards against spreading objects over targets that have not handled them, which makes work slower when there is least room.
+// Guards against spreading objects over targets that have not handled them. That makes requests slower while there are few free slots.
 func TestBusyTargetsRefuse(t *testing.T) {
-	brd := newBoard(1)
-	brd.Sync(newFleet(1).with("a-1", 4).view(), start)
+	bal := newBoard(1)
+	bal.Sync(newFleet(1).with("a-1", 4).view(), start)
 	used := make(map[cardamompass.InstanceID]int)
 	refused := 0
 	for range 60 {
-		chc, ok := brd.Choose(query(5, start))
+		chc, ok := bal.Choose(query(5, start))
 		if !ok {
 			refused++
 			continue
 		}
-		brd.RecordSent(chc.Instance.ID, start)
+		bal.RecordSent(chc.Instance.ID, start)
 		used[chc.Instance.ID]++
 	}
 	for id, count := range used {
@@ -317,12 +319,12 @@
 	}
 }
 
-// Guards against overloads that last because objects spread over all targets and push each other out, and against idle targets that
-// are not used. On mbmu-rain-grown, scale-2, the median of downloads was 0.81 s, and 0.39 s without the spread.
-func TestBusyServiceKeepsObjectsClose(t *testing.T) {
+// Guards against overloads that last because objects spread over all targets and evict each other, and against idle targets that are
+// not used. On mbmu-rain-grown, scale-2, the median latency of downloads was 0.81 s with the spread and 0.39 s without it.
+func TestBusyServiceUsesPreferredTargets(t *testing.T) {
 	tests := []struct {
 		name string
-		// load is the load of all targets but the close ones, which are full, and an idle one.
+		// load is the load of all targets except the preferred ones, which are full, and an idle one.
 		load int
 		ok   bool
 	}{
@@ -332,13 +334,13 @@
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			brd := newBoard(1)
-			brd.Sync(newFleet(1).with("a-1", 8).view(), start)
+			bal := newBoard(1)
+			bal.Sync(newFleet(1).with("a-1", 8).view(), start)
 			var full []cardamompass.InstanceID
 			for range 2 {
-				chc, _ := brd.Choose(query(5, start))
+				chc, _ := bal.Choose(query(5, start))
 				full = append(full, chc.Instance.ID)
-				state(brd, chc.Instance.ID, 12)
+				reportLoad(bal, chc.Instance.ID, 12)
 			}
 			idle := cardamompass.InstanceID("")
 			for num := range 8 {
@@ -348,10 +350,10 @@
 				case idle == "":
 					idle = id
 				default:
-					state(brd, id, tst.load)
+					reportLoad(bal, id, tst.load)
 				}
 			}
-			chc, ok := brd.Choose(query(5, start))
+			chc, ok := bal.Choose(query(5, start))
 			if ok != tst.ok || (tst.load > 0 && ok && chc.Instance.ID != idle) {
 				t.Fatalf("choice %+v, %v; idle is %s", chc, ok, idle)
 			}
@@ -359,16 +361,16 @@
 	}
 }
 
-// state makes an instance state a number of running requests.
-func state(brd *place.Balancer, id cardamompass.InstanceID, running int) {
-	brd.RecordPeerLoad(id, cardamompass.Load{
+// reportLoad records a report of an instance with a number of running requests.
+func reportLoad(bal *place.Balancer, id cardamompass.InstanceID, running int) {
+	bal.RecordPeerLoad(id, cardamompass.Load{
 		Running:  running,
 		Slots:    6,
 		Slowness: 1,
 	}, 0, start)
 }
 
-// Guards against a slow target, a failing one or a full one that still gets what another could do sooner.
+// Guards against the choice of a slow, full or failing target while another one would be faster.
 func TestFasterTargetWins(t *testing.T) {
 	tests := []struct {
 		name string
@@ -382,15 +384,15 @@
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			brd := newBoard(1)
-			brd.Sync(newFleet(1).with("a-1", 6).view(), start)
-			first, _ := brd.Choose(query(9, start))
+			bal := newBoard(1)
+			bal.Sync(newFleet(1).with("a-1", 6).view(), start)
+			first, _ := bal.Choose(query(9, start))
 			tst.out.Instance = first.Instance.ID
 			for range 4 {
-				brd.RecordSent(first.Instance.ID, start)
-				brd.RecordOutcome(tst.out, start)
+				bal.RecordSent(first.Instance.ID, start)
+				bal.RecordOutcome(tst.out, start)
 			}
-			second, ok := brd.Choose(query(9, start))
+			second, ok := bal.Choose(query(9, start))
 			if !ok || second.Instance.ID == first.Instance.ID {
 				t.Fatalf("choice %+v", second)
 			}
@@ -398,33 +400,34 @@
 	}
 }
 
-// Guards against no answer at all when every target of a service has just failed.
+// Guards against refusals when every target of a service has just become unreachable.
 func TestAvoidedTargetsAreTheLastResort(t *testing.T) {
-	brd := newBoard(1)
-	brd.Sync(newFleet(1).with("a-1", 1).view(), start)
-	chc, _ := brd.Choose(query(9, start))
-	brd.RecordSent(chc.Instance.ID, start)
-	brd.RecordOutcome(place.Outcome{
+	bal := newBoard(1)
+	bal.Sync(newFleet(1).with("a-1", 1).view(), start)
+	chc, _ := bal.Choose(query(9, start))
+	bal.RecordSent(chc.Instance.ID, start)
+	bal.RecordOutcome(place.Outcome{
 		Instance: chc.Instance.ID,
 		Result:   place.ResultUnreachable,
 	}, start)
-	if _, ok := brd.Choose(query(9, start)); !ok {
+	if _, ok := bal.Choose(query(9, start)); !ok {
 		t.Fatal("the only target is not used")
 	}
 }
 
-// Guards against VMs that stop one after the other and are forgotten all at once, the last of them while it still sends: a cold target
-// got 18 requests in one second where 15.5 are allowed ('removed-machines-cold-targets --vary --seed 330172870172' on mbmu-rain).
+// Guards against VMs that stop one after the other and are removed from the count all at once, the last of them while it still sends.
+// In 'removed-machines-cold-targets --vary --seed 330172870172' on mbmu-rain a cold target got 18 requests in one second, where 15.5
+// are allowed.
 func TestVMsThatStopOneAfterTheOther(t *testing.T) {
 	const pause = 1500 * time.Millisecond
-	brd := place.New(place.Config{
+	bal := place.New(place.Config{
 		Self:    "vm-0",
 		Regions: regions,
 	})
-	brd.Sync(view.Empty(), start.Add(-time.Minute)) // not a VM that has just started
-	brd.SetRunningVMs(7, start)
+	bal.Sync(view.Empty(), start.Add(-time.Minute)) // not a VM that has just started
+	bal.SetRunningVMs(7, start)
 	for left := 6; left >= 3; left-- {
-		brd.SetRunningVMs(left, start.Add(time.Duration(6-left)*pause))
+		bal.SetRunningVMs(left, start.Add(time.Duration(6-left)*pause))
 	}
 	tests := []struct {
 		after time.Duration
@@ -437,25 +440,25 @@
 		{9600 * time.Millisecond, 3},
 	}
 	for _, tst := range tests {
-		if got := brd.VMs(start.Add(tst.after)); got != tst.want {
+		if got := bal.VMs(start.Add(tst.after)); got != tst.want {
 			t.Errorf("%d VMs %v after the first stop, want %d", got, tst.after, tst.want)
 		}
 	}
-	brd.SetRunningVMs(5, start.Add(10*time.Second))
-	if got := brd.VMs(start.Add(10 * time.Second)); got != 5 {
+	bal.SetRunningVMs(5, start.Add(10*time.Second))
+	if got := bal.VMs(start.Add(10 * time.Second)); got != 5 {
 		t.Errorf("%d VMs once two have started, want 5", got)
 	}
 }
 
-// Guards against shares of budgets that grow at once when VMs vanish from the store though they still run.
-func TestVMsAreForgottenSlowly(t *testing.T) {
-	brd := newBoard(1)
-	brd.Sync(newFleet(7).view(), start)
-	brd.Sync(newFleet(2).view(), start.Add(time.Second))
-	if got := brd.VMs(start.Add(2 * time.Second)); got != 7 {
+// Guards against parts of common budgets that grow at once when VMs vanish from the store although they still run.
+func TestVMCountFallsSlowly(t *testing.T) {
+	bal := newBoard(1)
+	bal.Sync(newFleet(7).view(), start)
+	bal.Sync(newFleet(2).view(), start.Add(time.Second))
+	if got := bal.VMs(start.Add(2 * time.Second)); got != 7 {
 		t.Fatalf("%d VMs one second after five vanished", got)
 	}
-	if got := brd.VMs(start.Add(time.Minute)); got != 2 {
+	if got := bal.VMs(start.Add(time.Minute)); got != 2 {
 		t.Fatalf("%d VMs a minute later", got)
 	}
 }
@@ -463,10 +466,10 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{22, 244, 666} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			brd := newBoard(1)
-			brd.Sync(newFleet(35).with("a-1", count/2).with("b-1", count-count/2).view(), start)
+			bal := newBoard(1)
+			bal.Sync(newFleet(35).with("a-1", count/2).with("b-1", count-count/2).view(), start)
 			for num := range b.N {
-				brd.Choose(query(uint64(num), start))
+				bal.Choose(query(uint64(num), start))
 			}
 		})
 	}
--- a/internal/steer/place/state.go
+++ b/internal/steer/place/state.go
@@ -8,33 +8,35 @@
 )
 
 const (
-	// loadMemory is the time constant with which the stated load of other VMs' requests is forgotten. Requests take 0.2 to 0.7 s.
-	loadMemory = 700 * time.Millisecond
-	// slownessMemory is the time for which a stated slowness holds; machines of targets change about that often.
-	slownessMemory = 600 * time.Millisecond
-	// failureGain is the weight of the newest result in the failure rate, failureMemory the time constant of its decay.
-	failureGain   = 0.2
-	failureMemory = 4 * time.Second
-	// avoidFirst and avoidMost bound the time for which an instance that can't be reached gets no requests.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
-	// avoidGone is the time for which an instance that is not at its address gets no requests. Its entry lapses within that time.
+	// loadDecay is the time constant with which the reported load of other VMs' requests decays. Requests take 0.2 to 0.7 s.
+	loadDecay = 700 * time.Millisecond
+	// slownessDecay is the time constant with which a reported slowness decays to 1. The speed of the machines of targets changes about
+	// that often.
+	slownessDecay = 600 * time.Millisecond
+	// failureGain is the weight of the newest result in the failure rate, failureDecay the time constant of its decay.
+	failureGain  = 0.2
+	failureDecay = 4 * time.Second
+	// minAvoid and maxAvoid bound the time for which an instance that can't be reached is avoided.
+	minAvoid = 500 * time.Millisecond
+	maxAvoid = 4 * time.Second
+	// avoidGone is the time for which an instance that is no longer at its address is avoided. Its entry in the store expires within that
+	// time.
 	avoidGone = time.Minute
-	// acquaintance is the time after its start within which a VM may not know the others yet, when their entries have lapsed. It sends
-	// nothing to cold instances until it knows as many VMs as there are failure domains.
-	acquaintance = 3 * time.Second
-	// coldWindow is the span in which requests to a cold instance are counted.
+	// discoveryTime is the time after its start within which a VM may not have discovered the others, because their entries in the store
+	// have expired. Within that time it sends nothing to cold instances unless it counts at least as many VMs as failure domains.
+	discoveryTime = 3 * time.Second
+	// coldWindow is the length of the sliding window in which requests to a cold instance are counted.
 	coldWindow = time.Second
 )
 
-// state is what the VM knows of an instance.
+// state is the state of an instance as this VM sees it.
 type state struct {
 	ins        cardamompass.Instance
 	hash       uint64 // of the id
 	inFlight   int    // own requests
 	load       cardamompass.Load
 	loadAt     time.Time
-	loadOthers int // requests of other VMs at loadAt
+	loadOthers int // requests of other VMs at the instance at loadAt
 	failures   float64
 	failuresAt time.Time
 	avoidUntil time.Time
@@ -50,9 +52,9 @@
 	}
 }
 
-func (sta *state) note(out Outcome, now time.Time) {
+func (sta *state) recordOutcome(out Outcome, now time.Time) {
 	if out.Load != nil {
-		sta.stated(*out.Load, now)
+		sta.setLoad(*out.Load, now)
 	}
 	switch out.Result {
 	case ResultAnswered:
@@ -63,7 +65,7 @@
 		sta.failures = sta.failureRate(now)*(1-failureGain) + failureGain
 		sta.failuresAt = now
 	case ResultUnreachable:
-		sta.avoidFor = min(avoidMost, max(avoidFirst, 2*sta.avoidFor))
+		sta.avoidFor = min(maxAvoid, max(minAvoid, 2*sta.avoidFor))
 		sta.avoidUntil = now.Add(sta.avoidFor)
 	case ResultGone:
 		sta.avoidUntil = now.Add(avoidGone)
@@ -71,33 +73,33 @@
 	}
 }
 
-// stated takes a load that the instance stated at a time.
-func (sta *state) stated(lod cardamompass.Load, at time.Time) {
+// setLoad records a load that the instance reported at a time.
+func (sta *state) setLoad(lod cardamompass.Load, at time.Time) {
 	sta.load = lod
 	sta.loadAt = at
 	sta.loadOthers = max(0, lod.Running+lod.Waiting-sta.inFlight)
 }
 
-// failureRate is the part of recent requests that failed, from 0 to 1.
+// failureRate returns the fraction of recent requests that failed, from 0 to 1.
 func (sta *state) failureRate(now time.Time) (rate float64) {
-	return sta.failures * fade(now.Sub(sta.failuresAt), failureMemory)
+	return sta.failures * decay(now.Sub(sta.failuresAt), failureDecay)
 }
 
-// estimate is the number of requests that are probably at the instance.
-func (sta *state) estimate(now time.Time) (load float64) {
-	return float64(sta.inFlight) + float64(sta.loadOthers)*fade(now.Sub(sta.loadAt), loadMemory)
+// estimatedLoad returns the estimated number of requests at the instance.
+func (sta *state) estimatedLoad(now time.Time) (load float64) {
+	return float64(sta.inFlight) + float64(sta.loadOthers)*decay(now.Sub(sta.loadAt), loadDecay)
 }
 
-// slowness is how long work probably takes relative to the usual time.
+// slowness returns the estimated service time relative to the usual one.
 func (sta *state) slowness(now time.Time) (factor float64) {
 	if sta.load.Slowness == 0 {
 		return 1
 	}
-	return 1 + (sta.load.Slowness-1)*fade(now.Sub(sta.loadAt), slownessMemory)
+	return 1 + (sta.load.Slowness-1)*decay(now.Sub(sta.loadAt), slownessDecay)
 }
 
-// coldRoom reports whether an instance that is cold may get one more request from this VM within the last second's quota.
-func (sta *state) coldRoom(quota int, now time.Time) (ok bool) {
+// withinColdQuota reports whether this VM may send one more request to a cold instance without exceeding quota within coldWindow.
+func (sta *state) withinColdQuota(quota int, now time.Time) (ok bool) {
 	kept := sta.coldSent[:0]
 	for _, tim := range sta.coldSent {
 		if now.Sub(tim) <= coldWindow {
@@ -108,103 +110,104 @@
 	return len(kept) < quota
 }
 
-func fade(age, memory time.Duration) (factor float64) {
-	return math.Exp(-age.Seconds() / memory.Seconds())
+func decay(age, constant time.Duration) (factor float64) {
+	return math.Exp(-age.Seconds() / constant.Seconds())
 }
 
-// census counts the running VMs: the most of the last censusMemory. It follows a rise at once and a fall only after a while, since a VM
-// that vanished from the store or stops may still send.
-type census struct {
-	falls []headcount // each lower than the one before; the last is the present one
+// vmCounter counts the running VMs as the maximum of the last vmRetention. It follows an increase at once and a decrease with that delay,
+// since a VM that vanished from the store or that is stopping may still send requests.
+type vmCounter struct {
+	samples []vmSample // in decreasing order of count; the last one is the current count
 }
 
-// headcount is a number of VMs and when it last held.
-type headcount struct {
-	vms  int
-	last time.Time
+// vmSample is a number of VMs and the last time at which it was current.
+type vmSample struct {
+	count    int
+	lastSeen time.Time
 }
 
-// censusMemory is how long a VM counts after it has vanished from the store.
-const censusMemory = 5 * time.Second
+// vmRetention is the time for which a VM still counts after it has vanished from the store.
+const vmRetention = 5 * time.Second
 
-// note takes the number of VMs from now on.
-func (cns *census) note(vms int, now time.Time) {
-	cns.count(now)
-	for len(cns.falls) > 0 && cns.falls[len(cns.falls)-1].vms <= vms {
-		cns.falls = cns.falls[:len(cns.falls)-1]
+// record sets the current number of VMs.
+func (ctr *vmCounter) record(vms int, now time.Time) {
+	ctr.count(now)
+	for len(ctr.samples) > 0 && ctr.samples[len(ctr.samples)-1].count <= vms {
+		ctr.samples = ctr.samples[:len(ctr.samples)-1]
 	}
-	cns.falls = append(cns.falls, headcount{
-		vms:  vms,
-		last: now,
+	ctr.samples = append(ctr.samples, vmSample{
+		count:    vms,
+		lastSeen: now,
 	})
 }
 
-// count returns the most VMs of the last censusMemory, at least 1.
-func (cns *census) count(now time.Time) (vms int) {
-	if len(cns.falls) == 0 {
+// count returns the maximum number of VMs within the last vmRetention, at least 1.
+func (ctr *vmCounter) count(now time.Time) (vms int) {
+	if len(ctr.samples) == 0 {
 		return 1
 	}
-	cns.falls[len(cns.falls)-1].last = now
-	for now.Sub(cns.falls[0].last) > censusMemory {
-		cns.falls = cns.falls[1:]
+	ctr.samples[len(ctr.samples)-1].lastSeen = now
+	for now.Sub(ctr.samples[0].lastSeen) > vmRetention {
+		ctr.samples = ctr.samples[1:]
 	}
-	return max(1, cns.falls[0].vms)
+	return max(1, ctr.samples[0].count)
 }
 
-// trail remembers where this VM sent requests on an object.
-type trail struct {
-	steps [trailLength]step
+// history holds the instances that recently answered requests of this VM on an object.
+type history struct {
+	entries [historyLength]entry
 }
 
-type step struct {
+type entry struct {
 	ins cardamompass.InstanceID
 	at  time.Time
 }
 
 const (
-	// trailLength is the number of instances remembered for an object.
-	trailLength = 4
-	// trailMemory is the time for which an instance is taken to be warm. Targets keep some tens of objects.
-	trailMemory = 30 * time.Second
-	// maxTrails bounds the remembered objects; beyond it the table is emptied, which costs some slower answers.
-	maxTrails = 20000
+	// historyLength is the number of instances recorded for an object.
+	historyLength = 4
+	// warmTTL is the time for which an object is assumed to stay warm at an instance. Targets keep some tens of objects.
+	warmTTL = 30 * time.Second
+	// maxHistories bounds the number of recorded objects. When it is reached, all histories are discarded, which makes some responses
+	// slower.
+	maxHistories = 20000
 )
 
-func (trl *trail) note(id cardamompass.InstanceID, now time.Time) {
+func (hst *history) record(id cardamompass.InstanceID, now time.Time) {
 	oldest := 0
-	for num := range trl.steps {
-		if trl.steps[num].ins == id {
-			trl.steps[num].at = now
+	for num := range hst.entries {
+		if hst.entries[num].ins == id {
+			hst.entries[num].at = now
 			return
 		}
-		if trl.steps[num].at.Before(trl.steps[oldest].at) {
+		if hst.entries[num].at.Before(hst.entries[oldest].at) {
 			oldest = num
 		}
 	}
-	trl.steps[oldest] = step{
+	hst.entries[oldest] = entry{
 		ins: id,
 		at:  now,
 	}
 }
 
-func (trl *trail) warm(id cardamompass.InstanceID, now time.Time) (ok bool) {
-	for num := range trl.steps {
-		if trl.steps[num].ins == id && now.Sub(trl.steps[num].at) < trailMemory {
+func (hst *history) warm(id cardamompass.InstanceID, now time.Time) (ok bool) {
+	for num := range hst.entries {
+		if hst.entries[num].ins == id && now.Sub(hst.entries[num].at) < warmTTL {
 			return true
 		}
 	}
 	return false
 }
 
-func (brd *Balancer) trail(object uint64) (trl *trail) {
-	trl, ok := brd.trails[object]
+func (bal *Balancer) history(object uint64) (hst *history) {
+	hst, ok := bal.histories[object]
 	if ok {
-		return trl
+		return hst
 	}
-	if len(brd.trails) >= maxTrails {
-		clear(brd.trails)
+	if len(bal.histories) >= maxHistories {
+		clear(bal.histories)
 	}
-	trl = &trail{}
-	brd.trails[object] = trl
-	return trl
+	hst = &history{}
+	bal.histories[object] = hst
+	return hst
 }
