--- a/internal/fleet/share/bench_test.go
+++ b/internal/fleet/share/bench_test.go
@@ -13,13 +13,14 @@
 	"cardamompass/internal/fleet/share"
 )
 
-// fleetSizes are the numbers of owners for which costs are measured; 430 is the target size.
+// fleetSizes are the numbers of owners for which costs are measured; 430 is the size that the system is designed for.
 var fleetSizes = []int{7, 50, 200, 430}
 
-// costCapacity is the cap of each resource: that of a link, in bytes a second. One value lets one ledger stand for all.
+// costCapacity is the cap of each resource: that of a link, in bytes per second. All resources have the same cap, so that one
+// ledger serves for all.
 const costCapacity = 500_000_000
 
-// costResources are the caps of two services in the given number of regions: links, shifts, and slots.
+// costResources returns the resources of two services in the given number of regions: links, shifts, and slots.
 func costResources(regions int) (list []share.Resource) {
 	for from := range regions {
 		one := cardamompass.Region(fmt.Sprintf("region-%02d", from))
@@ -49,7 +50,7 @@
 	}
 }
 
-// costLedger is a link's ledger with equal parts.
+// costLedger returns the ledger of a link with equal shares.
 func costLedger(owners int) (led share.Ledger) {
 	led = share.Ledger{
 		Capacity:         costCapacity,
@@ -69,7 +70,7 @@
 	return led
 }
 
-// BenchmarkLedger measures one ledger: its stored size, its reading, the plan of a visit, and its writing.
+// BenchmarkLedger measures the stored size of one ledger and the time to parse, plan and marshal it.
 func BenchmarkLedger(b *testing.B) {
 	for _, owners := range fleetSizes {
 		led := costLedger(owners)
@@ -78,7 +79,7 @@
 			b.Fatal(err)
 		}
 		own := led.Entries[owners/2]
-		vis := share.PlanInput{
+		inp := share.PlanInput{
 			Owner:            own.Owner,
 			Resource:         share.Resource{Name: "link/a/b", Capacity: led.Capacity},
 			CatalogueVersion: led.CatalogueVersion,
@@ -87,7 +88,7 @@
 		}
 		for name, run := range map[string]func(){
 			"parse":   func() { _, _ = share.ParseLedger(data) },
-			"plan":    func() { led.Plan(vis) },
+			"plan":    func() { led.Plan(inp) },
 			"marshal": func() { _, _ = led.Marshal() },
 		} {
 			b.Run(fmt.Sprintf("owners=%d/%s", owners, name), func(b *testing.B) {
@@ -100,23 +101,23 @@
 	}
 }
 
-// costStore is a store whose ledgers are all the same. It counts calls and bytes.
+// costStore is a store that returns the same ledger for all resources. It counts calls and bytes.
 type costStore struct {
 	cardamompass.Store
-	data    []byte
-	reads   int
-	writes  int
-	inspect int
-	bytes   int
-	// trip is the round trip of each call.
-	trip time.Duration
+	data       []byte
+	reads      int
+	writes     int
+	leaseReads int
+	bytes      int
+	// roundTrip is the round-trip time of each call.
+	roundTrip time.Duration
 }
 
-func (sto *costStore) travel(ctx context.Context) (err error) {
-	if sto.trip == 0 {
+func (sto *costStore) wait(ctx context.Context) (err error) {
+	if sto.roundTrip == 0 {
 		return nil
 	}
-	tmr := time.NewTimer(sto.trip)
+	tmr := time.NewTimer(sto.roundTrip)
 	defer tmr.Stop()
 	select {
 	case <-ctx.Done():
@@ -128,7 +129,7 @@
 
 func (sto *costStore) Get(ctx context.Context, key string) (val cardamompass.Value, err error) {
 	sto.reads++
-	if err := sto.travel(ctx); err != nil {
+	if err := sto.wait(ctx); err != nil {
 		return val, err
 	}
 	sto.bytes += len(sto.data)
@@ -156,8 +157,8 @@
 }
 
 func (sto *costStore) Inspect(ctx context.Context, lid cardamompass.LeaseID) (lse cardamompass.Lease, err error) {
-	sto.inspect++
-	if err := sto.travel(ctx); err != nil {
+	sto.leaseReads++
+	if err := sto.wait(ctx); err != nil {
 		return lse, err
 	}
 	return cardamompass.Lease{
@@ -165,7 +166,7 @@
 	}, nil
 }
 
-// costMembers are the owners that are alive; the first is this VM.
+// costMembers are the alive owners; the first is this VM.
 type costMembers []cardamompass.Member
 
 func (mbs costMembers) Self() cardamompass.Member { return mbs[0] }
@@ -174,7 +175,7 @@
 	return append([]cardamompass.Member(nil), mbs...)
 }
 
-// costPool returns a pool among owners VMs, of which the last dead ones are gone while their leases live.
+// costPool returns the pool of one VM of a fleet of owners VMs, of which the last dead ones have crashed with live leases.
 func costPool(b *testing.B, owners, dead int, resources []share.Resource, clk cardamompass.Clock) (pol *share.Pool, sto *costStore) {
 	led := costLedger(owners)
 	data, err := led.Marshal()
@@ -208,38 +209,39 @@
 	return pol, sto
 }
 
-// BenchmarkVisit measures one visit of all ledgers of 4 regions and counts its calls of the store. Dead owners have
+// BenchmarkRebalance measures one rebalance of all ledgers of 4 regions and counts its calls of the store. Dead owners have
 // live leases, as after a crash.
-func BenchmarkVisit(b *testing.B) {
+func BenchmarkRebalance(b *testing.B) {
 	for _, owners := range fleetSizes {
 		for _, dead := range []int{0, max(1, owners/11), max(2, owners/4)} {
 			b.Run(fmt.Sprintf("owners=%d/dead=%d", owners, dead), func(b *testing.B) {
 				pol, sto := costPool(b, owners, dead, costResources(4), cardamompass.SystemClock{})
 				pol.Rebalance(b.Context())
-				sto.reads, sto.writes, sto.inspect, sto.bytes = 0, 0, 0, 0
+				sto.reads, sto.writes, sto.leaseReads, sto.bytes = 0, 0, 0, 0
 				rounds := 0
 				for b.Loop() {
 					pol.Rebalance(b.Context())
 					rounds++
 				}
-				b.ReportMetric(float64(sto.reads)/float64(rounds), "gets/visit")
-				b.ReportMetric(float64(sto.writes)/float64(rounds), "puts/visit")
-				b.ReportMetric(float64(sto.inspect)/float64(rounds), "lease-reads/visit")
-				b.ReportMetric(float64(sto.bytes)/float64(rounds), "ledger-B/visit")
+				b.ReportMetric(float64(sto.reads)/float64(rounds), "gets/rebalance")
+				b.ReportMetric(float64(sto.writes)/float64(rounds), "puts/rebalance")
+				b.ReportMetric(float64(sto.leaseReads)/float64(rounds), "lease-reads/rebalance")
+				b.ReportMetric(float64(sto.bytes)/float64(rounds), "ledger-B/rebalance")
 			})
 		}
 	}
 }
 
-// BenchmarkVisitFar measures the visit of one ledger from a region with a round trip of 70 ms to the store, while dead
-// owners have live leases. Each lease is read by itself, and a visit has 3 s. owned is the units after the visit.
-func BenchmarkVisitFar(b *testing.B) {
+// BenchmarkRebalanceRemote measures the rebalance of one ledger from a region with a round trip of 70 ms to the store, while
+// dead owners have live leases. Each lease is read by itself, and a rebalance has 3 s. owned is the number of units after the
+// rebalance.
+func BenchmarkRebalanceRemote(b *testing.B) {
 	for _, dead := range []int{0, 10, 39, 107} {
 		b.Run(fmt.Sprintf("dead=%d", dead), func(b *testing.B) {
 			owned := int64(0)
 			for b.Loop() {
 				pol, sto := costPool(b, 430, dead, costResources(4)[:1], cardamompass.SystemClock{})
-				sto.trip = 70 * time.Millisecond
+				sto.roundTrip = 70 * time.Millisecond
 				pol.Rebalance(b.Context())
 				owned = pol.State().Resources[0].Owned
 			}
@@ -248,7 +250,7 @@
 	}
 }
 
-// BenchmarkBorrowRound measures a round of loans without demand. Each VM does ten a second.
+// BenchmarkBorrowRound measures a borrow round without demand. Each VM does ten per second.
 func BenchmarkBorrowRound(b *testing.B) {
 	for _, owners := range fleetSizes {
 		b.Run(fmt.Sprintf("owners=%d", owners), func(b *testing.B) {
@@ -260,20 +262,20 @@
 	}
 }
 
-// stepClock moves only when it is told to.
-type stepClock struct{ now time.Time }
+// manualClock advances only when now is set.
+type manualClock struct{ now time.Time }
 
-func (clk *stepClock) Now() time.Time { return clk.now }
+func (clk *manualClock) Now() time.Time { return clk.now }
 
-func (clk *stepClock) NewTimer(dur time.Duration) cardamompass.Timer {
+func (clk *manualClock) NewTimer(dur time.Duration) cardamompass.Timer {
 	return cardamompass.SystemClock{}.NewTimer(dur)
 }
 
-// BenchmarkLend measures the answer to a borrower that asks ten times a second, as each VM does that lacks units.
+// BenchmarkLend measures the reply to a borrower that calls ten times per second, as each VM with unmet demand does.
 func BenchmarkLend(b *testing.B) {
 	for _, borrowers := range []int{1, 3, 12, 48} {
 		b.Run(fmt.Sprintf("borrowers=%d", borrowers), func(b *testing.B) {
-			clk := &stepClock{
+			clk := &manualClock{
 				now: time.Now(),
 			}
 			pol, _ := costPool(b, 430, 0, costResources(4), clk)
@@ -305,8 +307,8 @@
 	return mst.HeapAlloc
 }
 
-// BenchmarkPoolMemory reports the memory of a pool by the number of regions between which caps are divided. With each
-// of the 89 sites as a region of its own there are caps between all pairs.
+// BenchmarkPoolMemory reports the memory of a pool by the number of regions. 89 is the number of sites: if each were a region
+// of its own, there would be caps between all pairs of them.
 func BenchmarkPoolMemory(b *testing.B) {
 	for _, regions := range []int{4, 12, 30, 89} {
 		b.Run(fmt.Sprintf("regions=%d", regions), func(b *testing.B) {
@@ -325,45 +327,45 @@
 	}
 }
 
-// BenchmarkStorm reports the loans that a VM holds after 5 s in which a quarter of the VMs lack units of one rate. A VM that
-// still lacks units asks each of its lenders ten times a second.
-func BenchmarkStorm(b *testing.B) {
+// BenchmarkOverload reports the loans that a VM has after 5 s in which a quarter of the VMs have unmet demand of one rate. A VM
+// with unmet demand calls each of its lenders ten times per second.
+func BenchmarkOverload(b *testing.B) {
 	for _, owners := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d", owners), func(b *testing.B) {
 			for b.Loop() {
-				reportStorm(b, newWorld(*seed, owners))
+				reportOverload(b, newSim(*seed, owners))
 			}
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-func reportStorm(b *testing.B, wld *world) {
-	wld.capacity["link/gulf/delta"] = 1_000_000
-	for _, one := range wld.vms {
+func reportOverload(b *testing.B, sml *sim) {
+	sml.capacity["link/gulf/delta"] = 1_000_000
+	for _, one := range sml.vms {
 		one.setResources(2)
 	}
-	// Two visits of each VM divide the units.
+	// Two rebalances of each VM divide the units.
 	for range 2 {
-		for _, one := range wld.vms {
+		for _, one := range sml.vms {
 			one.pol.Rebalance(context.Background())
-			wld.now = wld.now.Add(10 * time.Millisecond)
+			sml.now = sml.now.Add(10 * time.Millisecond)
 		}
 	}
-	storm := len(wld.vms) / 4
+	overloaded := len(sml.vms) / 4
 	for range 50 {
-		wld.now = wld.now.Add(100 * time.Millisecond)
-		for num, one := range wld.vms {
+		sml.now = sml.now.Add(100 * time.Millisecond)
+		for num, one := range sml.vms {
 			one.pol.BorrowRound(context.Background())
 			for range 10 {
-				if num < storm {
+				if num < overloaded {
 					one.pol.Rate("link/gulf/delta").Allow(5000, "short")
 				}
 			}
 		}
 	}
 	total, most, usable := 0, 0, int64(0)
-	for _, one := range wld.vms[:storm] {
+	for _, one := range sml.vms[:overloaded] {
 		for _, res := range one.pol.State().Resources {
 			if res.Name == "link/gulf/delta" {
 				total += len(res.Borrowed)
@@ -372,7 +374,7 @@
 			}
 		}
 	}
-	b.ReportMetric(float64(total)/float64(storm), "loans/VM")
+	b.ReportMetric(float64(total)/float64(overloaded), "loans/VM")
 	b.ReportMetric(float64(most), "max-loans")
-	b.ReportMetric(float64(usable)/float64(wld.capacity["link/gulf/delta"])*100, "percent-of-cap")
+	b.ReportMetric(float64(usable)/float64(sml.capacity["link/gulf/delta"])*100, "percent-of-cap")
 }
--- a/internal/fleet/share/ledger.go
+++ b/internal/fleet/share/ledger.go
@@ -14,17 +14,19 @@
 type Owner struct {
 	VM          cardamompass.VMID        `json:"vm"`
 	Incarnation cardamompass.Incarnation `json:"incarnation"`
-	// Boot identifies the run of the VM's operating system. A process that has bound the peer address of its predecessor
-	// under the same boot knows that the predecessor is gone.
+	// Boot identifies the boot of the VM's operating system. Under the same boot, a process that has bound the peer
+	// address of its predecessor proves that the predecessor has ended.
 	Boot string `json:"boot,omitempty"`
 	// Lease is the store lease that the ownership is bound to.
 	Lease cardamompass.LeaseID `json:"lease"`
 }
 
-func (own Owner) same(oth Owner) bool { return own.VM == oth.VM && own.Incarnation == oth.Incarnation }
+func (own Owner) sameIncarnation(oth Owner) bool {
+	return own.VM == oth.VM && own.Incarnation == oth.Incarnation
+}
 
-// succeeds reports whether own runs where oth certainly runs no more.
-func (own Owner) succeeds(oth Owner) bool {
+// isSuccessorOf reports whether own is a later process than oth on the same VM and boot, so that oth has certainly ended.
+func (own Owner) isSuccessorOf(oth Owner) bool {
 	return own.VM == oth.VM && own.Boot != "" && own.Boot == oth.Boot && own.Incarnation > oth.Incarnation
 }
 
@@ -32,21 +34,22 @@
 type Entry struct {
 	Owner
 	Units int64 `json:"units"`
-	// Weight is the relative size of the owner's part, at least 1.
+	// Weight is the relative size of the owner's share, at least 1.
 	Weight int64 `json:"weight"`
 }
 
-// Ledger is the division of one resource. It is immutable. The sum of its units never exceeds its capacity.
+// Ledger records which owners hold the units of one resource. It is immutable. The sum of the units never exceeds the
+// capacity.
 type Ledger struct {
-	// Capacity is the cap that the units are parts of.
+	// Capacity is the total number of units that are divided.
 	Capacity int64 `json:"capacity"`
 	// CatalogueVersion is the version of the catalogue from which Capacity was taken.
 	CatalogueVersion int64 `json:"catalogue-version"`
-	// Entries are in the order of VM and incarnation.
+	// Entries are sorted by VM and incarnation.
 	Entries []Entry `json:"entries"`
 }
 
-// ParseLedger returns the ledger that data holds. Empty data is an empty ledger.
+// ParseLedger decodes the stored form of a ledger. Empty data is an empty ledger.
 func ParseLedger(data []byte) (led Ledger, err error) {
 	defer func() { err = errors.Wrap(err, "parse ledger") }()
 	if len(data) == 0 {
@@ -75,7 +78,7 @@
 // Marshal returns the stored form.
 func (led Ledger) Marshal() (data []byte, err error) { return json.Marshal(led) }
 
-// Sum returns the units that are owned.
+// Sum returns the total number of units owned.
 func (led Ledger) Sum() (sum int64) {
 	for _, ent := range led.Entries {
 		sum += ent.Units
@@ -83,10 +86,10 @@
 	return sum
 }
 
-// Units returns the units that own has.
+// Units returns the number of units that own holds.
 func (led Ledger) Units(own Owner) int64 {
 	for _, ent := range led.Entries {
-		if ent.same(own) {
+		if ent.sameIncarnation(own) {
 			return ent.Units
 		}
 	}
@@ -95,7 +98,7 @@
 
 // WithEntry returns a copy in which ent replaces the entry of the same owner.
 func (led Ledger) WithEntry(ent Entry) Ledger {
-	led = led.without(func(old Entry) bool { return old.same(ent.Owner) })
+	led = led.without(func(old Entry) bool { return old.sameIncarnation(ent.Owner) })
 	led.Entries = append(led.Entries, ent)
 	slices.SortFunc(led.Entries, func(one, two Entry) int {
 		if ord := strings.Compare(string(one.VM), string(two.VM)); ord != 0 {
@@ -109,9 +112,9 @@
 	return led
 }
 
-// WithoutOwner returns a copy in which own has no entry.
+// WithoutOwner returns a copy without the entry of own.
 func (led Ledger) WithoutOwner(own Owner) Ledger {
-	return led.without(func(ent Entry) bool { return ent.same(own) })
+	return led.without(func(ent Entry) bool { return ent.sameIncarnation(own) })
 }
 
 func (led Ledger) without(drop func(Entry) bool) Ledger {
@@ -119,7 +122,7 @@
 	return led
 }
 
-// PlanInput is what an incarnation knows when it plans its next entry in a ledger.
+// PlanInput is the input with which an incarnation plans its next entry in a ledger.
 type PlanInput struct {
 	Owner    Owner
 	Resource Resource
@@ -143,135 +146,137 @@
 	Unavailable func(Entry) bool
 }
 
-// Plan returns the ledger that the visitor wants: without the entries of gone owners, with the capacity in force if the
-// visitor knows a catalogue that is at least as new as the ledger's, and with the visitor's units moved towards its
-// part. Only the visitor's own units and those of gone owners change.
-func (led Ledger) Plan(vis PlanInput) (next Ledger) {
+// Plan returns the next ledger as one owner computes it: without the entries of expired owners, with the capacity of the
+// resource if the owner's catalogue is at least as new as the ledger's, and with the owner's units moved towards its share.
+// Only the planning owner's units and those of expired owners change.
+func (led Ledger) Plan(inp PlanInput) (next Ledger) {
 	next = led.without(func(ent Entry) bool {
-		return !ent.same(vis.Owner) && (vis.PredecessorLoansEnded && vis.Owner.succeeds(ent.Owner) || vis.Expired(ent))
+		return !ent.sameIncarnation(inp.Owner) && (inp.PredecessorLoansEnded && inp.Owner.isSuccessorOf(ent.Owner) || inp.Expired(ent))
 	})
 	wanted := next.Capacity
-	if vis.CatalogueVersion >= next.CatalogueVersion {
-		wanted = vis.Resource.Capacity
+	if inp.CatalogueVersion >= next.CatalogueVersion {
+		wanted = inp.Resource.Capacity
 	}
 	capacity := wanted
-	if capacity < next.Capacity && !next.fits(vis, capacity) {
-		// The capacity in the ledger stays, and all owners scale their units down. Who lowered its entry as well would use
-		// only a part of its part.
+	if capacity < next.Capacity && !next.fits(inp, capacity) {
+		// The capacity in the ledger stays, and all owners scale their units down. An owner that also lowered its entry
+		// would be reduced twice.
 		capacity = next.Capacity
 	}
-	mine := min(next.Units(vis.Owner), vis.ConfirmedUnits)
-	others := next.WithoutOwner(vis.Owner).Sum()
-	part := partOf(next, vis, capacity)
-	units := mine
+	current := min(next.Units(inp.Owner), inp.ConfirmedUnits)
+	others := next.WithoutOwner(inp.Owner).Sum()
+	share := shareOf(next, inp, capacity)
+	units := current
 	switch {
-	case mine > part && (others+mine > capacity || next.starved(vis.Owner, capacity)):
-		units = max(part, min(vis.Floor, mine))
-	case mine < part:
-		units += min(part-mine, max(0, capacity-others-mine))
+	case current > share && (others+current > capacity || next.anyUnderallocated(inp.Owner, capacity)):
+		units = max(share, min(inp.Floor, current))
+	case current < share:
+		units += min(share-current, max(0, capacity-others-current))
 	}
-	if units < vis.Resource.minUnits() && units != mine {
-		units = min(mine, vis.Floor)
+	if units < inp.Resource.minUnits() && units != current {
+		units = min(current, inp.Floor)
 	}
 	next = next.WithEntry(Entry{
-		Owner:  vis.Owner,
+		Owner:  inp.Owner,
 		Units:  units,
-		Weight: vis.Resource.Weight,
+		Weight: inp.Resource.Weight,
 	})
-	// A lower capacity is written only when the units fit into it; until then owners scale their units down.
-	if next.Sum() <= wanted && vis.CatalogueVersion >= led.CatalogueVersion {
+	// A lower capacity is written only when the sum of the units fits into it; until then owners scale their units down.
+	if next.Sum() <= wanted && inp.CatalogueVersion >= led.CatalogueVersion {
 		next.Capacity = wanted
-		next.CatalogueVersion = vis.CatalogueVersion
+		next.CatalogueVersion = inp.CatalogueVersion
 	}
 	return next
 }
 
-// fits reports whether the units can fit into a lower capacity once all owners that can lower their entries have their part.
-func (led Ledger) fits(vis PlanInput, capacity int64) bool {
-	if vis.Unavailable == nil {
+// fits reports whether the units fit into a lower capacity once all available owners have lowered their entries to their
+// shares.
+func (led Ledger) fits(inp PlanInput, capacity int64) bool {
+	if inp.Unavailable == nil {
 		return true
 	}
-	parts := led.parts(capacity)
+	shares := led.shares(capacity)
 	sum := int64(0)
 	for num, ent := range led.Entries {
-		if !vis.Unavailable(ent) {
-			ent.Units = min(ent.Units, parts[num])
+		if !inp.Unavailable(ent) {
+			ent.Units = min(ent.Units, shares[num])
 		}
 		sum += ent.Units
 	}
 	return sum <= capacity
 }
 
-// parts returns the part of the capacity of each entry by its weight. The remainder of the division goes to the first
-// entries.
-func (led Ledger) parts(capacity int64) (parts []int64) {
+// shares returns the share of the capacity of each entry in proportion to its weight. The remainder of the division goes to
+// the first entries.
+func (led Ledger) shares(capacity int64) (shares []int64) {
 	var weights int64
 	for _, ent := range led.Entries {
 		weights += max(1, ent.Weight)
 	}
 	left := capacity
 	for _, ent := range led.Entries {
-		part := capacity * max(1, ent.Weight) / weights
-		parts = append(parts, part)
-		left -= part
+		share := capacity * max(1, ent.Weight) / weights
+		shares = append(shares, share)
+		left -= share
 	}
-	for num := range parts {
+	for num := range shares {
 		if int64(num) < left {
-			parts[num]++
+			shares[num]++
 		}
 	}
-	return parts
+	return shares
 }
 
-// starved reports whether an owner other than own has less than half of its part. Owners lower their entries only then, so
-// that small changes in the number of owners cause no writes.
-func (led Ledger) starved(own Owner, capacity int64) bool {
-	parts := led.parts(capacity)
+// anyUnderallocated reports whether an owner other than own has less than half of its share. Owners lower their entries
+// only then, so that small changes in the number of owners cause no writes.
+func (led Ledger) anyUnderallocated(own Owner, capacity int64) bool {
+	shares := led.shares(capacity)
 	for num, ent := range led.Entries {
-		if !ent.same(own) && 2*ent.Units < parts[num] {
+		if !ent.sameIncarnation(own) && 2*ent.Units < shares[num] {
 			return true
 		}
 	}
 	return false
 }
 
-// uneven reports whether an owner has less than half of its part, and the parts are large enough to be owned at all.
-func (led Ledger) uneven(least int64) bool {
-	return led.Capacity/max(1, int64(len(led.Entries))) >= least && led.starved(Owner{}, led.Capacity)
+// uneven reports whether an owner has less than half of its share, while the average share is at least the smallest number
+// of units that can be owned.
+func (led Ledger) uneven(minUnits int64) bool {
+	return led.Capacity/max(1, int64(len(led.Entries))) >= minUnits && led.anyUnderallocated(Owner{}, led.Capacity)
 }
 
-// lacks reports whether own has less than half of its part.
-func (led Ledger) lacks(own Owner) bool {
-	parts := led.parts(led.Capacity)
-	pos := slices.IndexFunc(led.Entries, func(ent Entry) bool { return ent.same(own) })
-	return pos >= 0 && 2*led.Entries[pos].Units < parts[pos]
+// underallocated reports whether own has less than half of its share.
+func (led Ledger) underallocated(own Owner) bool {
+	shares := led.shares(led.Capacity)
+	pos := slices.IndexFunc(led.Entries, func(ent Entry) bool { return ent.sameIncarnation(own) })
+	return pos >= 0 && 2*led.Entries[pos].Units < shares[pos]
 }
 
-// partOf returns the visitor's part of the capacity among the present owners and the absent members, which count with the
-// visitor's weight.
-func partOf(led Ledger, vis PlanInput, capacity int64) int64 {
+// shareOf returns the planning owner's share of the capacity among the owners in the ledger and the members without an
+// entry, which count with the planning owner's weight.
+func shareOf(led Ledger, inp PlanInput, capacity int64) int64 {
 	withSelf := led.WithEntry(Entry{
-		Owner:  vis.Owner,
-		Weight: vis.Resource.Weight,
+		Owner:  inp.Owner,
+		Weight: inp.Resource.Weight,
 	})
-	pos := slices.IndexFunc(withSelf.Entries, func(ent Entry) bool { return ent.same(vis.Owner) })
-	for num := range vis.MembersWithoutEntry {
+	pos := slices.IndexFunc(withSelf.Entries, func(ent Entry) bool { return ent.sameIncarnation(inp.Owner) })
+	for num := range inp.MembersWithoutEntry {
 		withSelf.Entries = append(withSelf.Entries, Entry{
 			Owner: Owner{
 				Incarnation: cardamompass.Incarnation(num),
 			},
-			Weight: vis.Resource.Weight,
+			Weight: inp.Resource.Weight,
 		})
 	}
-	part := withSelf.parts(capacity)[pos]
-	if vis.Resource.Kind == KindSlots {
-		// A VM of another region gives its only slot up while one of this region has none.
-		return part
+	share := withSelf.shares(capacity)[pos]
+	if inp.Resource.Kind == KindSlots {
+		// No minimum applies, so that a VM of another region gives up its only slot while a VM of this region has none.
+		return share
 	}
-	return max(part, min(vis.Resource.minUnits(), capacity))
+	return max(share, min(inp.Resource.minUnits(), capacity))
 }
 
-// Equal reports whether two ledgers hold the same division.
+// Equal reports whether two ledgers have the same capacity, catalogue version and entries.
 func (led Ledger) Equal(oth Ledger) bool {
 	return led.Capacity == oth.Capacity && led.CatalogueVersion == oth.CatalogueVersion &&
 		slices.Equal(led.Entries, oth.Entries)
--- a/internal/fleet/share/loan.go
+++ b/internal/fleet/share/loan.go
@@ -7,144 +7,144 @@
 )
 
 const (
-	// loanMargin is added to the end of a loan on the lender's side, beside a hundredth of the loan's time, for the
-	// difference in the rate of two clocks.
+	// loanMargin is added to the end of a loan on the lender's side, in addition to clockDriftPercent of the loan's time, since
+	// the two clocks may run at different rates.
 	loanMargin = 100 * time.Millisecond
-	// clockPercent is the largest difference in the rate of two clocks, in percent.
-	clockPercent = 1
+	// clockDriftPercent is the largest difference in the rate of two clocks, in percent.
+	clockDriftPercent = 1
 )
 
-// party is the other side of a loan.
-type party struct {
+// vmIncarnation identifies one run of another VM's process.
+type vmIncarnation struct {
 	vm          cardamompass.VMID
 	incarnation cardamompass.Incarnation
 }
 
-// lending is one grant as the lender keeps it.
-type lending struct {
+// grant is a loan as the lender records it.
+type grant struct {
 	sequence uint64
 	units    int64
-	// capacity is the cap that the units are parts of.
+	// capacity is the lender's capacity of the resource at the time of the grant.
 	capacity int64
 	ends     time.Time
 }
 
-// lentBook is what a lender has lent of one resource. Earlier grants to a borrower stay until they end, since the
-// borrower may not have received a later one.
-type lentBook struct {
-	grants map[party][]lending
+// grants are the loans that a lender has given from one resource. Earlier grants to a borrower stay until they end, since
+// the borrower may not have received a later one.
+type grants struct {
+	byBorrower map[vmIncarnation][]grant
 }
 
-func newLentBook() lentBook {
-	return lentBook{
-		grants: make(map[party][]lending),
+func newGrants() grants {
+	return grants{
+		byBorrower: make(map[vmIncarnation][]grant),
 	}
 }
 
-// to returns the units that pty may be using, deducted in full even if the cap was lowered since: the borrower may not have
-// the lower cap yet.
-func (lbk lentBook) to(pty party, now time.Time) (units int64) {
-	for _, lnd := range lbk.grants[pty] {
-		if now.Before(lnd.ends) {
-			units = max(units, lnd.units)
+// lentTo returns the units that vmi may be using. They are deducted in full even if the cap was lowered in the meantime: the
+// borrower may not have the lower cap yet.
+func (grs grants) lentTo(vmi vmIncarnation, now time.Time) (units int64) {
+	for _, grt := range grs.byBorrower[vmi] {
+		if now.Before(grt.ends) {
+			units = max(units, grt.units)
 		}
 	}
 	return units
 }
 
-// scaledTo returns the units that pty has as parts of capacity, which a renewed loan may keep.
-func (lbk lentBook) scaledTo(pty party, capacity int64, now time.Time) (units int64) {
-	for _, lnd := range lbk.grants[pty] {
-		if now.Before(lnd.ends) {
-			units = max(units, scale(lnd.units, capacity, lnd.capacity))
+// scaledTo returns the units that vmi has, scaled down to capacity, which a renewed loan may keep.
+func (grs grants) scaledTo(vmi vmIncarnation, capacity int64, now time.Time) (units int64) {
+	for _, grt := range grs.byBorrower[vmi] {
+		if now.Before(grt.ends) {
+			units = max(units, scale(grt.units, capacity, grt.capacity))
 		}
 	}
 	return units
 }
 
 // total returns the units that all borrowers together may be using.
-func (lbk lentBook) total(now time.Time) (units int64) {
-	for pty := range lbk.grants {
-		units += lbk.to(pty, now)
+func (grs grants) total(now time.Time) (units int64) {
+	for vmi := range grs.byBorrower {
+		units += grs.lentTo(vmi, now)
 	}
 	return units
 }
 
-// grant records that pty may use units until ends.
-func (lbk lentBook) grant(pty party, lnd lending, now time.Time) {
-	lbk.grants[pty] = append(lbk.live(pty, now), lnd)
+// add records a grant to vmi.
+func (grs grants) add(vmi vmIncarnation, grt grant, now time.Time) {
+	grs.byBorrower[vmi] = append(grs.active(vmi, now), grt)
 }
 
-// giveBack records that pty uses no grant with a smaller sequence any more.
-func (lbk lentBook) giveBack(pty party, sequence uint64, now time.Time) {
-	kept := lbk.live(pty, now)[:0]
-	for _, lnd := range lbk.live(pty, now) {
-		if lnd.sequence >= sequence {
-			kept = append(kept, lnd)
+// release removes the grants to vmi with a smaller sequence.
+func (grs grants) release(vmi vmIncarnation, sequence uint64, now time.Time) {
+	kept := grs.active(vmi, now)[:0]
+	for _, grt := range grs.active(vmi, now) {
+		if grt.sequence >= sequence {
+			kept = append(kept, grt)
 		}
 	}
-	lbk.put(pty, kept)
+	grs.set(vmi, kept)
 }
 
-func (lbk lentBook) live(pty party, now time.Time) (kept []lending) {
-	for _, lnd := range lbk.grants[pty] {
-		if now.Before(lnd.ends) {
-			kept = append(kept, lnd)
+func (grs grants) active(vmi vmIncarnation, now time.Time) (kept []grant) {
+	for _, grt := range grs.byBorrower[vmi] {
+		if now.Before(grt.ends) {
+			kept = append(kept, grt)
 		}
 	}
-	lbk.put(pty, kept)
+	grs.set(vmi, kept)
 	return kept
 }
 
-func (lbk lentBook) put(pty party, kept []lending) {
+func (grs grants) set(vmi vmIncarnation, kept []grant) {
 	if len(kept) == 0 {
-		delete(lbk.grants, pty)
+		delete(grs.byBorrower, vmi)
 		return
 	}
-	lbk.grants[pty] = kept
+	grs.byBorrower[vmi] = kept
 }
 
-// borrowing is one loan as the borrower keeps it.
-type borrowing struct {
+// loan is a loan as the borrower records it.
+type loan struct {
 	sequence uint64
 	units    int64
-	// ends is counted from the moment at which the borrower sent its request.
+	// ends is counted from the time at which the borrower sent its request.
 	ends time.Time
-	// capacity is the cap that the lender's units were parts of.
+	// capacity is the lender's capacity of the resource when it answered.
 	capacity int64
 }
 
-// borrowedBook is what a borrower has borrowed of one resource.
-type borrowedBook map[party]borrowing
+// loans are the loans that a borrower has received for one resource, by lender.
+type loans map[vmIncarnation]loan
 
-// total returns the units that can be used now; they shrink with a capacity that was lowered after the loan.
-func (bbk borrowedBook) total(capacity int64, now time.Time) (units int64) {
-	for _, brw := range bbk {
-		if now.Before(brw.ends) {
-			units += scale(brw.units, capacity, brw.capacity)
+// total returns the units that can be used now. They are scaled down if the capacity was lowered after the loan.
+func (lns loans) total(capacity int64, now time.Time) (units int64) {
+	for _, lon := range lns {
+		if now.Before(lon.ends) {
+			units += scale(lon.units, capacity, lon.capacity)
 		}
 	}
 	return units
 }
 
-// scale returns units of a capacity of basis as units of capacity, if that is smaller.
-func scale(units, capacity, basis int64) int64 {
+// scale scales units of fromCapacity down to capacity. It never scales up.
+func scale(units, capacity, fromCapacity int64) int64 {
 	if capacity <= 0 {
 		return 0
 	}
-	if basis <= capacity {
+	if fromCapacity <= capacity {
 		return units
 	}
-	return int64(float64(units) * float64(capacity) / float64(basis))
+	return int64(float64(units) * float64(capacity) / float64(fromCapacity))
 }
 
-// lenderEnd returns the end of a loan on the lender's side when it answers at now.
-func lenderEnd(now time.Time, ttl, linger time.Duration) time.Time {
-	return now.Add(ttl + ttl*clockPercent/100 + loanMargin + linger)
+// lenderLoanEnd returns the end, on the lender's side, of a loan that is granted at now.
+func lenderLoanEnd(now time.Time, ttl, maxRunTime time.Duration) time.Time {
+	return now.Add(ttl + ttl*clockDriftPercent/100 + loanMargin + maxRunTime)
 }
 
-// leaseEnd returns the last moment at which a lease whose renewal was sent at sent is certainly alive.
+// leaseEnd returns the last time at which a lease is certainly alive whose renewal was sent at sent.
 func leaseEnd(sent time.Time, ttl time.Duration) time.Time {
 	const margin = 2 * time.Second
-	return sent.Add(ttl - ttl*clockPercent/100 - margin)
+	return sent.Add(ttl - ttl*clockDriftPercent/100 - margin)
 }
--- a/internal/fleet/share/pool.go
+++ b/internal/fleet/share/pool.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	// borrowInterval is the time between two rounds of requests for loans.
+	// borrowInterval is the time between two borrow rounds.
 	borrowInterval = 100 * time.Millisecond
 	// borrowTimeout bounds one request for a loan. It exceeds the round trip between two regions.
 	borrowTimeout = 300 * time.Millisecond
-	// borrowPeers is the number of VMs that are asked in one round.
+	// borrowPeers is the number of additional VMs that are asked for a loan of one resource in one round.
 	borrowPeers = 3
-	// visitBase and visitPerMember give the time between two visits of a ledger, so that the visits of the whole fleet
-	// stay a constant load on the store.
-	visitBase      = 5 * time.Second
-	visitPerMember = 2800 * time.Millisecond
-	// unevenBase and unevenPerMember take their place while units are divided unevenly.
+	// rebalanceBase and rebalancePerMember give the mean time between two rebalances of all ledgers by one VM, so that the
+	// load on the store does not grow with the fleet.
+	rebalanceBase      = 5 * time.Second
+	rebalancePerMember = 2800 * time.Millisecond
+	// unevenBase and unevenPerMember replace them for ledgers that are divided unevenly.
 	unevenBase      = time.Second
 	unevenPerMember = 50 * time.Millisecond
-	// visitTries bounds the tries of one visit that loses its compare-and-swap.
-	visitTries = 5
-	// smallFleet is the number of members up to which all visit the ledgers after a change: 30 VMs read 44 ledgers within
-	// 2.5 s, 530 reads a second.
-	smallFleet = 30
-	// leaseMemory is the time for which a lease that was seen alive is not asked for again. An owner that died holds its
-	// units for the whole lease anyhow, and one read for each ledger and visit is beyond the store's rate when many died.
-	leaseMemory = 5 * time.Minute
-	// storeTimeout bounds one call of the store.
+	// rebalanceTries bounds the compare-and-swap attempts of one rebalance of a ledger.
+	rebalanceTries = 5
+	// smallFleetSize is the number of members up to which all VMs rebalance all ledgers after a change of the membership:
+	// 30 VMs read 44 ledgers within 2.5 s, 530 reads per second.
+	smallFleetSize = 30
+	// leaseCacheTime is how long a lease that was found alive is not read again. An owner that crashed keeps its units for
+	// the whole lease anyway, and one read for each ledger and rebalance exceeds the store's rate after many crashes.
+	leaseCacheTime = 5 * time.Minute
+	// storeTimeout bounds the calls of the store of one attempt.
 	storeTimeout = 3 * time.Second
 )
 
 // Config configures a Pool.
 type Config struct {
-	// Owner names this incarnation. Its Lease is set by the Pool.
+	// Owner identifies this incarnation. Its Lease is set by the Pool.
 	Owner   Owner
 	Store   cardamompass.Store
 	Peers   cardamompass.PeerCaller
@@ -52,35 +52,35 @@
 	Log     *zap.Logger
 	// LeaseTTL is the time for which units outlive the last contact with the store.
 	LeaseTTL time.Duration
-	// LoanTTL is the time of a loan.
+	// LoanTTL is the duration of a loan.
 	LoanTTL time.Duration
-	// KeyPrefix is put before the names of resources to form the keys of their ledgers.
+	// KeyPrefix is the prefix of the ledgers' keys, followed by the name of the resource.
 	KeyPrefix string
 	// Random returns a number in [0, n). Nil means math/rand.
 	Random func(n int64) int64
 }
 
-// Pool holds this incarnation's part of every resource.
+// Pool holds this incarnation's units of every resource.
 type Pool struct {
 	cfg     Config
 	lease   atomic.Pointer[heldLease]
 	leaving atomic.Bool
-	// lendsNot is set when a planned stop begins: units that are lent at its end stay unused after it.
-	lendsNot atomic.Bool
-	sequence atomic.Uint64
-	mtx      sync.Mutex
-	cells    map[string]*cell
-	version  int64
-	wake     chan struct{}
-	// visiting admits one visit at a time: concurrent visits of one ledger would race on the units held.
-	visiting sync.Mutex
-	started  time.Time
-	// leasesAlive tells until when a lease of another owner is taken for alive, guarded by visiting.
-	leasesAlive map[cardamompass.LeaseID]time.Time
-	// due are the ledgers to be visited at dueTime, guarded by mtx; soon tells that there are any.
-	due     map[string]bool
-	dueTime time.Time
-	soon    chan struct{}
+	// lendingStopped is set when a planned stop begins: units that are still lent at its end stay unused after it.
+	lendingStopped   atomic.Bool
+	sequence         atomic.Uint64
+	mtx              sync.Mutex
+	allocations      map[string]*allocation
+	version          int64
+	resourcesChanged chan struct{}
+	// rebalancing serializes rebalances: concurrent ones of a ledger would race on the confirmed units.
+	rebalancing sync.Mutex
+	started     time.Time
+	// aliveLeases caches until when the lease of another owner is considered alive, guarded by rebalancing.
+	aliveLeases map[cardamompass.LeaseID]time.Time
+	// due are the ledgers to rebalance at dueTime, guarded by mtx; dueAdded signals the first of them.
+	due      map[string]bool
+	dueTime  time.Time
+	dueAdded chan struct{}
 }
 
 type heldLease struct {
@@ -88,30 +88,31 @@
 	ends time.Time
 }
 
-// New returns a Pool without resources. Nothing moves until Start is called, or Visit and BorrowRound are.
+// New returns a Pool without resources. It makes no calls before Start, Rebalance or BorrowRound.
 func New(cfg Config) *Pool {
 	if cfg.Random == nil {
 		cfg.Random = rand.Int63n
 	}
 	pol := &Pool{
-		cfg:     cfg,
-		cells:   make(map[string]*cell),
-		wake:    make(chan struct{}, 1),
-		started: cfg.Clock.Now(),
-		due:     make(map[string]bool),
+		cfg:              cfg,
+		allocations:      make(map[string]*allocation),
+		resourcesChanged: make(chan struct{}, 1),
+		started:          cfg.Clock.Now(),
+		due:              make(map[string]bool),
 
-		leasesAlive: make(map[cardamompass.LeaseID]time.Time),
-		soon:        make(chan struct{}, 1),
+		aliveLeases: make(map[cardamompass.LeaseID]time.Time),
+		dueAdded:    make(chan struct{}, 1),
 	}
 	pol.lease.Store(&heldLease{})
 	return pol
 }
 
-// Start visits the ledgers and borrows in the background. The cleanup stops that; it gives nothing back, see Release.
+// Start rebalances the ledgers and borrows in the background until cleanup is called. The cleanup does not give units back, see
+// Release.
 func (pol *Pool) Start() (cleanup func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wtg sync.WaitGroup
-	wtg.Go(func() { pol.runVisits(ctx) })
+	wtg.Go(func() { pol.runRebalancing(ctx) })
 	wtg.Go(func() { pol.runLoans(ctx) })
 	return func() {
 		cancel()
@@ -119,77 +120,77 @@
 	}
 }
 
-// SetResources replaces the caps in force by those of a catalogue version. Units of a resource that is not listed any
-// more can't be used.
+// SetResources replaces the caps in force by those of a catalogue version. Units of a resource that is no longer listed
+// can't be used.
 func (pol *Pool) SetResources(resources []Resource, version int64) {
 	now := pol.cfg.Clock.Now()
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	pol.version = version
 	named := make(map[string]bool, len(resources))
-	fresh := false
+	changed := false
 	for _, res := range resources {
 		named[res.Name] = true
-		cel, ok := pol.cells[res.Name]
+		alc, ok := pol.allocations[res.Name]
 		if !ok {
-			pol.cells[res.Name] = newCell(res, now)
-			fresh = true
+			pol.allocations[res.Name] = newAllocation(res, now)
+			changed = true
 			continue
 		}
-		cel.mtx.Lock()
-		fresh = fresh || cel.res.Capacity != res.Capacity
-		cel.res = res
-		cel.mtx.Unlock()
+		alc.mtx.Lock()
+		changed = changed || alc.res.Capacity != res.Capacity
+		alc.res = res
+		alc.mtx.Unlock()
 	}
-	for name, cel := range pol.cells {
+	for name, alc := range pol.allocations {
 		if !named[name] {
-			cel.mtx.Lock()
-			cel.res.Capacity = 0
-			cel.mtx.Unlock()
+			alc.mtx.Lock()
+			alc.res.Capacity = 0
+			alc.mtx.Unlock()
 		}
 	}
-	if fresh {
+	if changed {
 		select {
-		case pol.wake <- struct{}{}:
+		case pol.resourcesChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Rate returns this VM's use of a rate, nil if the catalogue does not name it.
+// Rate returns this VM's handle of a rate, nil if the catalogue does not define it.
 func (pol *Pool) Rate(name string) *Rate {
-	cel := pol.cell(name)
-	if cel == nil {
+	alc := pol.allocation(name)
+	if alc == nil {
 		return nil
 	}
 	return &Rate{
 		pol: pol,
-		cel: cel,
+		alc: alc,
 	}
 }
 
-// Slots returns this VM's use of slots, nil if the catalogue does not name them.
+// Slots returns this VM's handle of slots, nil if the catalogue does not define them.
 func (pol *Pool) Slots(name string) *Slots {
-	cel := pol.cell(name)
-	if cel == nil {
+	alc := pol.allocation(name)
+	if alc == nil {
 		return nil
 	}
 	return &Slots{
 		pol: pol,
-		cel: cel,
+		alc: alc,
 	}
 }
 
-func (pol *Pool) cell(name string) *cell {
+func (pol *Pool) allocation(name string) *allocation {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
-	return pol.cells[name]
+	return pol.allocations[name]
 }
 
 func (pol *Pool) names() (names []string) {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
-	for name := range pol.cells {
+	for name := range pol.allocations {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -198,10 +199,10 @@
 
 func (pol *Pool) leaseEnds() time.Time { return pol.lease.Load().ends }
 
-// runVisits keeps the lease, visits every ledger now and then, and those soon that are divided unevenly.
-func (pol *Pool) runVisits(ctx context.Context) {
+// runRebalancing renews the lease and rebalances all ledgers at intervals, and those that are divided unevenly sooner.
+func (pol *Pool) runRebalancing(ctx context.Context) {
 	pol.Rebalance(ctx)
-	full := pol.nextFull()
+	full := pol.nextFullRebalance()
 	for {
 		next := full
 		if due, ok := pol.dueAt(); ok && due.Before(full) {
@@ -212,53 +213,54 @@
 		case <-ctx.Done():
 			tmr.Stop()
 			return
-		case <-pol.wake:
+		case <-pol.resourcesChanged:
 			pol.Rebalance(ctx)
-		case <-pol.soon:
-			// A ledger became due; the time of the next visit is computed anew.
+		case <-pol.dueAdded:
+			// A ledger became due; the time of the next rebalance is computed again.
 		case <-tmr.C():
 			if next.Before(full) {
-				pol.visit(ctx, pol.takeDue())
+				pol.rebalance(ctx, pol.takeDue())
 				break
 			}
 			pol.Rebalance(ctx)
-			full = pol.nextFull()
+			full = pol.nextFullRebalance()
 		}
 		tmr.Stop()
 	}
 }
 
-// nextFull returns the time of the next visit of all ledgers. Visits also renew the lease, so several fit into its time.
-func (pol *Pool) nextFull() time.Time {
-	return pol.cfg.Clock.Now().Add(min(pol.jittered(visitBase, visitPerMember), pol.cfg.LeaseTTL/4))
+// nextFullRebalance returns the time of the next rebalance of all ledgers. Rebalances also renew the lease, so several of them
+// must take place within its TTL.
+func (pol *Pool) nextFullRebalance() time.Time {
+	return pol.cfg.Clock.Now().Add(min(pol.jittered(rebalanceBase, rebalancePerMember), pol.cfg.LeaseTTL/4))
 }
 
-// jittered returns a time around base plus perMember for each member of the fleet.
+// jittered returns a random interval whose mean is base plus perMember for each member of the fleet.
 func (pol *Pool) jittered(base, perMember time.Duration) time.Duration {
 	interval := base + time.Duration(len(pol.cfg.Members.Members())*int(perMember))
 	return interval/2 + time.Duration(pol.cfg.Random(int64(interval)))
 }
 
-// MembersChanged makes all ledgers be visited soon in a small fleet, so that the units of a VM that left are taken up within seconds.
-// In a larger one that would be more reads than the store takes, and the units are a small part.
+// MembersChanged schedules a rebalance of all ledgers in a small fleet, so that the units of a VM that left are reassigned
+// within seconds. In a larger fleet that would exceed the store's read rate, and one VM's units are a small fraction.
 func (pol *Pool) MembersChanged() {
-	if len(pol.cfg.Members.Members()) > smallFleet {
+	if len(pol.cfg.Members.Members()) > smallFleetSize {
 		return
 	}
 	for _, name := range pol.names() {
-		pol.setDue(name)
+		pol.scheduleRebalance(name)
 	}
 }
 
-// setDue makes a ledger be visited soon, because it is divided unevenly or another VM lacks its units.
-func (pol *Pool) setDue(name string) {
+// scheduleRebalance schedules an early rebalance of a ledger, because it is divided unevenly or another VM lacks units.
+func (pol *Pool) scheduleRebalance(name string) {
 	at := pol.cfg.Clock.Now().Add(pol.jittered(unevenBase, unevenPerMember))
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	if len(pol.due) == 0 {
 		pol.dueTime = at
 		select {
-		case pol.soon <- struct{}{}:
+		case pol.dueAdded <- struct{}{}:
 		default:
 		}
 	}
@@ -279,50 +281,51 @@
 	return names
 }
 
-// Rebalance renews the lease if that is due and visits every ledger once. Failures are logged and left to the next visit.
+// Rebalance renews the lease if that is due and rebalances every ledger once. Failures are logged; the next rebalance tries
+// again.
 func (pol *Pool) Rebalance(ctx context.Context) {
-	pol.visit(ctx, pol.names())
+	pol.rebalance(ctx, pol.names())
 }
 
-func (pol *Pool) visit(ctx context.Context, names []string) {
-	pol.visiting.Lock()
-	defer pol.visiting.Unlock()
+func (pol *Pool) rebalance(ctx context.Context, names []string) {
+	pol.rebalancing.Lock()
+	defer pol.rebalancing.Unlock()
 	if pol.leaving.Load() {
 		return
 	}
-	if err := pol.keepLease(ctx); err != nil {
+	if err := pol.ensureLease(ctx); err != nil {
 		pol.cfg.Log.Warn("share lease not renewed", zap.Error(err), zap.Time("ends", pol.leaseEnds()))
 		if pol.lease.Load().id == "" {
-			// Without a lease this VM owns nothing, so it must not wait for its next regular visit.
+			// Without a lease this VM owns nothing, so it must not wait for its next regular rebalance.
 			for _, name := range names {
-				pol.setDue(name)
+				pol.scheduleRebalance(name)
 			}
 		}
 		return
 	}
-	pol.forgetLeases()
+	pol.evictAliveLeases()
 	pol.shuffle(len(names), func(one, two int) { names[one], names[two] = names[two], names[one] })
 	for _, name := range names {
 		if ctx.Err() != nil {
 			return
 		}
-		if err := pol.visitLedger(ctx, name); err != nil {
+		if err := pol.rebalanceLedger(ctx, name); err != nil {
 			pol.cfg.Log.Warn("share ledger not visited", zap.String("resource", name), zap.Error(err))
 		}
 	}
 }
 
-// shuffle puts count things in random order. Many VMs that visit the ledgers in the same order race for the same one.
+// shuffle puts count elements in random order. VMs that rebalanced the ledgers in the same order would race for the same one.
 func (pol *Pool) shuffle(count int, swap func(one, two int)) {
 	for num := count - 1; num > 0; num-- {
 		swap(num, int(pol.cfg.Random(int64(num+1))))
 	}
 }
 
-// keepLease grants a lease, or renews the one held when a sixth of its time has passed. The end of the lease is counted
-// from before the call, since the store may have counted from any later moment.
-func (pol *Pool) keepLease(ctx context.Context) (err error) {
-	defer func() { err = errors.Wrap(err, "keep lease") }()
+// ensureLease obtains a lease, or renews the one held when a sixth of its time has passed. The end of the lease is counted
+// from the time before the call, since the store may have counted from any later time.
+func (pol *Pool) ensureLease(ctx context.Context) (err error) {
+	defer func() { err = errors.Wrap(err, "renew lease") }()
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	held := pol.lease.Load()
@@ -357,35 +360,35 @@
 	return nil
 }
 
-// dropUnits gives up all units because their lease has lapsed: other VMs may own them already.
+// dropUnits gives up all units because their lease has lapsed: other VMs may already own them.
 func (pol *Pool) dropUnits() {
 	pol.lease.Store(&heldLease{})
 	for _, name := range pol.names() {
-		cel := pol.cell(name)
-		cel.mtx.Lock()
-		cel.units = 0
-		cel.mtx.Unlock()
+		alc := pol.allocation(name)
+		alc.mtx.Lock()
+		alc.units = 0
+		alc.mtx.Unlock()
 	}
 	pol.cfg.Log.Warn("share lease lapsed; units given up")
 }
 
-// owner returns this incarnation with the lease held.
+// owner returns this incarnation with its current lease.
 func (pol *Pool) owner() Owner {
 	own := pol.cfg.Owner
 	own.Lease = pol.lease.Load().id
 	return own
 }
 
-// StopLending refuses loans and their renewal from now on, so that lent units are back when Release is called.
-func (pol *Pool) StopLending() { pol.lendsNot.Store(true) }
+// StopLending refuses loans and their renewal from now on, so that lent units have returned when Release is called.
+func (pol *Pool) StopLending() { pol.lendingStopped.Store(true) }
 
 // Release gives all units back to the ledgers, for a planned stop. Units that are still lent or in use stay in the ledger
-// until the lease lapses. The Pool is of no use afterwards.
+// until the lease lapses. The Pool must not be used afterwards.
 func (pol *Pool) Release(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "release units") }()
 	pol.leaving.Store(true)
-	pol.visiting.Lock()
-	defer pol.visiting.Unlock()
+	pol.rebalancing.Lock()
+	defer pol.rebalancing.Unlock()
 	kept := false
 	for _, name := range pol.names() {
 		left, rerr := pol.releaseLedger(ctx, name)
--- a/internal/fleet/share/service.go
+++ b/internal/fleet/share/service.go
@@ -13,27 +13,27 @@
 // ServiceName is the name under which a Service is registered with the peer server.
 const ServiceName = "Share"
 
-// BorrowArgs asks a VM for the loan of units.
+// BorrowArgs is a request for a loan of units.
 type BorrowArgs struct {
 	Resource    string
 	VM          cardamompass.VMID
 	Incarnation cardamompass.Incarnation
-	// Sequence grows with each call of the borrower.
+	// Sequence increases with each call of the borrower.
 	Sequence uint64
-	// Want is the number of units that the borrower wants to have from this lender altogether.
+	// Want is the total number of units that the borrower requests from this lender.
 	Want int64
 }
 
-// BorrowReply grants a loan in place of the borrower's earlier ones from this lender.
+// BorrowReply grants a loan that replaces the borrower's earlier ones from this lender.
 type BorrowReply struct {
 	Units int64
-	// TTL is the time of the loan, counted by the borrower from the sending of its request.
+	// TTL is the duration of the loan, counted by the borrower from the time at which it sent its request.
 	TTL time.Duration
-	// Capacity is the cap that the units are parts of.
+	// Capacity is the lender's capacity of the resource.
 	Capacity int64
 }
 
-// ReturnArgs says that the borrower uses no unit of the grants with a smaller sequence any more.
+// ReturnArgs states that the borrower no longer uses the grants with a smaller sequence.
 type ReturnArgs struct {
 	Resource    string
 	VM          cardamompass.VMID
@@ -44,7 +44,7 @@
 // ReturnReply is empty.
 type ReturnReply struct{}
 
-// UnevenArgs says that a resource is divided unevenly and that the receiver owns most of it.
+// UnevenArgs states that a resource is divided unevenly and that the receiver owns more of it than any other VM.
 type UnevenArgs struct {
 	Resource string
 }
@@ -52,7 +52,7 @@
 // UnevenReply is empty.
 type UnevenReply struct{}
 
-// Service answers the loan messages of other entry VMs. Its methods have the form that net/rpc wants.
+// Service handles the calls of other entry VMs. Its methods have the form that net/rpc requires.
 type Service struct {
 	pol *Pool
 }
@@ -64,81 +64,81 @@
 	}
 }
 
-// Borrow answers a request for a loan. The units are deducted before the answer leaves.
+// Borrow handles a request for a loan. The units are deducted before the reply is sent.
 func (svc *Service) Borrow(args *BorrowArgs, reply *BorrowReply) (err error) {
 	pol := svc.pol
-	cel := pol.cell(args.Resource)
-	if cel == nil || pol.leaving.Load() || pol.lendsNot.Load() {
+	alc := pol.allocation(args.Resource)
+	if alc == nil || pol.leaving.Load() || pol.lendingStopped.Load() {
 		return nil
 	}
-	pty := party{
+	vmi := vmIncarnation{
 		vm:          args.VM,
 		incarnation: args.Incarnation,
 	}
 	now := pol.cfg.Clock.Now()
-	cel.mtx.Lock()
-	defer cel.mtx.Unlock()
-	ends := lenderEnd(now, pol.cfg.LoanTTL, cel.res.MaxRunTime)
+	alc.mtx.Lock()
+	defer alc.mtx.Unlock()
+	ends := lenderLoanEnd(now, pol.cfg.LoanTTL, alc.res.MaxRunTime)
 	if !ends.Before(pol.leaseEnds()) {
 		return nil
 	}
-	units := cel.answerBorrow(pty, args.Want, now, pol.leaseEnds())
+	units := alc.loanUnits(vmi, args.Want, now, pol.leaseEnds())
 	reply.Units = units
 	reply.TTL = pol.cfg.LoanTTL
-	reply.Capacity = cel.res.Capacity
+	reply.Capacity = alc.res.Capacity
 	if units > 0 {
-		cel.lent.grant(pty, lending{
+		alc.lent.add(vmi, grant{
 			sequence: args.Sequence,
 			units:    units,
-			capacity: cel.res.Capacity,
+			capacity: alc.res.Capacity,
 			ends:     ends,
 		}, now)
 	}
 	return nil
 }
 
-// Return ends loans before their time.
+// Return handles the early return of loans.
 func (svc *Service) Return(args *ReturnArgs, _ *ReturnReply) (err error) {
-	cel := svc.pol.cell(args.Resource)
-	if cel == nil {
+	alc := svc.pol.allocation(args.Resource)
+	if alc == nil {
 		return nil
 	}
-	cel.mtx.Lock()
-	defer cel.mtx.Unlock()
-	cel.lent.giveBack(party{
+	alc.mtx.Lock()
+	defer alc.mtx.Unlock()
+	alc.lent.release(vmIncarnation{
 		vm:          args.VM,
 		incarnation: args.Incarnation,
 	}, args.Sequence, svc.pol.cfg.Clock.Now())
 	return nil
 }
 
-// Uneven makes this VM visit a ledger soon, where it gives up what exceeds its part.
+// Uneven schedules a rebalance of a ledger, in which this VM gives up the units that exceed its share.
 func (svc *Service) Uneven(args *UnevenArgs, _ *UnevenReply) (err error) {
-	if svc.pol.cell(args.Resource) != nil {
-		svc.pol.setDue(args.Resource)
+	if svc.pol.allocation(args.Resource) != nil {
+		svc.pol.scheduleRebalance(args.Resource)
 	}
 	return nil
 }
 
-// runLoans borrows while there is demand, renews loans and returns those that are not needed.
+// runLoans borrows while there is unmet demand, renews loans and returns those that are not needed.
 func (pol *Pool) runLoans(ctx context.Context) {
 	for cardamompass.Sleep(ctx, pol.cfg.Clock, borrowInterval) == nil {
 		pol.BorrowRound(ctx)
 	}
 }
 
-// BorrowRound does one round of loans for all resources and waits for its calls.
+// BorrowRound requests, renews and returns loans of all resources once and waits for the calls to finish.
 func (pol *Pool) BorrowRound(ctx context.Context) {
 	if pol.leaving.Load() {
 		return
 	}
-	var busy []string
+	var names []string
 	for _, name := range pol.names() {
-		if pol.cell(name).busy(pol.cfg.Clock.Now()) {
-			busy = append(busy, name)
+		if pol.allocation(name).needsBorrowRound(pol.cfg.Clock.Now()) {
+			names = append(names, name)
 		}
 	}
-	if len(busy) == 0 {
+	if len(names) == 0 {
 		return
 	}
 	var peers []cardamompass.VM
@@ -149,170 +149,172 @@
 	}
 	pol.shuffle(len(peers), func(one, two int) { peers[one], peers[two] = peers[two], peers[one] })
 	var wtg sync.WaitGroup
-	for _, name := range busy {
-		cel := pol.cell(name)
-		for _, ask := range pol.asks(cel, peers) {
-			wtg.Go(func() { pol.borrow(ctx, name, cel, ask) })
+	for _, name := range names {
+		alc := pol.allocation(name)
+		for _, req := range pol.loanRequests(alc, peers) {
+			wtg.Go(func() { pol.borrow(ctx, name, alc, req) })
 		}
 	}
 	wtg.Wait()
 }
 
-// busy reports whether a round has anything to do: units are lacking, borrowed or to be returned.
-func (cel *cell) busy(now time.Time) bool {
-	cel.mtx.Lock()
-	defer cel.mtx.Unlock()
-	return cel.short(now) || len(cel.borrowed) > 0 || len(cel.ended) > 0
+// needsBorrowRound reports whether there is unmet demand, or a loan to renew or to return.
+func (alc *allocation) needsBorrowRound(now time.Time) bool {
+	alc.mtx.Lock()
+	defer alc.mtx.Unlock()
+	return alc.hasUnmetDemand(now) || len(alc.borrowed) > 0 || len(alc.unreturned) > 0
 }
 
-// ask is one request for a loan, or a return of ended ones when want is 0.
-type ask struct {
+// loanRequest is one call to a lender: a request for a loan, or the return of ended loans when want is 0.
+type loanRequest struct {
 	peer cardamompass.VM
 	want int64
-	// sequence is above those of the grants that are returned.
+	// sequence is greater than the sequences of the grants to return.
 	sequence uint64
 }
 
-// asks decides whom to ask for what: lenders whose loans run out soon, a few others when units are lacking, and returns.
-func (pol *Pool) asks(cel *cell, peers []cardamompass.VM) (asks []ask) {
+// loanRequests returns the calls of one round: renewals of loans that end soon, requests to a few more lenders when there is
+// unmet demand, and returns.
+func (pol *Pool) loanRequests(alc *allocation, peers []cardamompass.VM) (reqs []loanRequest) {
 	now := pol.cfg.Clock.Now()
-	cel.mtx.Lock()
-	defer cel.mtx.Unlock()
-	cel.endLoans(now, pol.leaseEnds())
-	wants := cel.wants(now, pol.leaseEnds())
-	if cel.res.Kind == KindSlots {
-		// Counted anew until the next round.
-		cel.missed = 0
+	alc.mtx.Lock()
+	defer alc.mtx.Unlock()
+	alc.endUnneededLoans(now, pol.leaseEnds())
+	demand := alc.demand(now, pol.leaseEnds())
+	if alc.res.Kind == KindSlots {
+		// The count restarts with each round.
+		alc.unmetSlots = 0
 	}
-	lacking := wants - cel.usable(now, pol.leaseEnds())
-	// Slots of ended loans are free once the own ones and those of live loans cover the use.
-	covered := cel.inUse <= cel.usable(now, pol.leaseEnds())
-	others := 0
+	deficit := demand - alc.usable(now, pol.leaseEnds())
+	// Slots of ended loans can be returned once the owned and the borrowed slots cover the slots in use.
+	covered := alc.inUse <= alc.usable(now, pol.leaseEnds())
+	newLenders := 0
 	for _, peer := range peers {
-		pty := party{
+		vmi := vmIncarnation{
 			vm:          peer.ID,
 			incarnation: peer.Incarnation,
 		}
-		brw, ok := cel.borrowed[pty]
-		one := ask{
+		lon, ok := alc.borrowed[vmi]
+		req := loanRequest{
 			peer:     peer,
 			sequence: pol.sequence.Add(1),
 		}
 		switch {
-		case ok && (lacking > 0 || brw.ends.Sub(now) < pol.cfg.LoanTTL/2 && cel.needed(now, pol.leaseEnds())):
-			one.want = brw.units + max(0, lacking)
-		case !ok && lacking > 0 && others < borrowPeers:
-			others++
-			one.want = max(lacking, cel.res.minUnits())
-		case cel.ended[pty] && covered:
+		case ok && (deficit > 0 || lon.ends.Sub(now) < pol.cfg.LoanTTL/2 && alc.exceedsOwned(now, pol.leaseEnds())):
+			req.want = lon.units + max(0, deficit)
+		case !ok && deficit > 0 && newLenders < borrowPeers:
+			newLenders++
+			req.want = max(deficit, alc.res.minUnits())
+		case alc.unreturned[vmi] && covered:
 			if ok {
-				one.sequence = brw.sequence
+				req.sequence = lon.sequence
 			}
-			delete(cel.ended, pty)
+			delete(alc.unreturned, vmi)
 		default:
 			continue
 		}
-		asks = append(asks, one)
+		reqs = append(reqs, req)
 	}
-	return asks
+	return reqs
 }
 
-// endLoans drops the loans that have run out, and slots that are not needed. Their lenders are told when the slots are not in
-// use: a loan that only runs out keeps its units from the lender for the longest time of a request in addition.
-func (cel *cell) endLoans(now, leaseEnds time.Time) {
-	idle := cel.res.Kind == KindSlots && cel.missed == 0 && cel.inUse < cel.own(now, leaseEnds)
-	for pty, brw := range cel.borrowed {
-		if idle || !now.Before(brw.ends) {
-			cel.end(pty)
+// endUnneededLoans removes the loans that have ended, and those of slots that are not needed. The slots are returned to their
+// lenders once they are not in use: a lender deducts slots that are not returned for the longest time of a request beyond
+// the end of the loan.
+func (alc *allocation) endUnneededLoans(now, leaseEnds time.Time) {
+	idle := alc.res.Kind == KindSlots && alc.unmetSlots == 0 && alc.inUse < alc.owned(now, leaseEnds)
+	for vmi, lon := range alc.borrowed {
+		if idle || !now.Before(lon.ends) {
+			alc.endLoan(vmi)
 		}
 	}
 }
 
-// end stops the use of a loan.
-func (cel *cell) end(pty party) {
-	delete(cel.borrowed, pty)
-	if cel.res.Kind == KindSlots {
-		cel.ended[pty] = true
+// endLoan stops the use of a loan.
+func (alc *allocation) endLoan(vmi vmIncarnation) {
+	delete(alc.borrowed, vmi)
+	if alc.res.Kind == KindSlots {
+		alc.unreturned[vmi] = true
 	}
 }
 
-// needed reports whether more than the own units is in use.
-func (cel *cell) needed(now, leaseEnds time.Time) bool {
-	used := cel.inUse
-	if cel.res.Kind == KindRate {
-		used = cel.use.perSecond(now) * 100 / usedPercent
+// exceedsOwned reports whether the use reaches or exceeds the owned units.
+func (alc *allocation) exceedsOwned(now, leaseEnds time.Time) bool {
+	used := alc.inUse
+	if alc.res.Kind == KindRate {
+		used = alc.usage.perSecond(now) * 100 / continuousPercent
 	}
-	return used > 0 && used >= cel.own(now, leaseEnds)
+	return used > 0 && used >= alc.owned(now, leaseEnds)
 }
 
-// borrow makes one call and applies its answer.
-func (pol *Pool) borrow(ctx context.Context, name string, cel *cell, one ask) {
+// borrow makes one call to a lender and applies its reply.
+func (pol *Pool) borrow(ctx context.Context, name string, alc *allocation, req loanRequest) {
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	pty := party{
-		vm:          one.peer.ID,
-		incarnation: one.peer.Incarnation,
+	vmi := vmIncarnation{
+		vm:          req.peer.ID,
+		incarnation: req.peer.Incarnation,
 	}
-	if one.want == 0 {
-		pol.giveBack(ctx, name, cel, one)
+	if req.want == 0 {
+		pol.returnLoans(ctx, name, alc, req)
 		return
 	}
 	sent := pol.cfg.Clock.Now()
 	var reply BorrowReply
-	err := pol.cfg.Peers.Call(ctx, one.peer.PeerAddress, ServiceName+".Borrow", &BorrowArgs{
+	err := pol.cfg.Peers.Call(ctx, req.peer.PeerAddress, ServiceName+".Borrow", &BorrowArgs{
 		Resource:    name,
 		VM:          pol.cfg.Owner.VM,
 		Incarnation: pol.cfg.Owner.Incarnation,
-		Sequence:    one.sequence,
-		Want:        one.want,
+		Sequence:    req.sequence,
+		Want:        req.want,
 	}, &reply)
 	if err != nil {
-		pol.cfg.Log.Debug("loan not answered", zap.String("resource", name), zap.String("peer", string(pty.vm)), zap.Error(err))
+		pol.cfg.Log.Debug("loan not answered", zap.String("resource", name), zap.String("peer", string(vmi.vm)), zap.Error(err))
 	}
-	cel.mtx.Lock()
-	defer cel.mtx.Unlock()
-	old := cel.borrowed[pty]
+	alc.mtx.Lock()
+	defer alc.mtx.Unlock()
+	old := alc.borrowed[vmi]
 	switch {
 	case err != nil:
-		// The lender may have granted a loan of which this VM knows nothing.
-		cel.markEnded(pty)
+		// The lender may have granted a loan whose reply was lost.
+		alc.markUnreturned(vmi)
 		return
 	case reply.Units <= 0:
-		cel.end(pty)
+		alc.endLoan(vmi)
 		return
 	case reply.Units < old.units:
-		cel.markEnded(pty)
+		alc.markUnreturned(vmi)
 	}
-	cel.borrowed[pty] = borrowing{
-		sequence: one.sequence,
+	alc.borrowed[vmi] = loan{
+		sequence: req.sequence,
 		units:    reply.Units,
 		ends:     sent.Add(reply.TTL),
 		capacity: reply.Capacity,
 	}
 }
 
-// markEnded records that a lender may hold a grant that is not in use.
-func (cel *cell) markEnded(pty party) {
-	if cel.res.Kind == KindSlots {
-		cel.ended[pty] = true
+// markUnreturned records that a lender may still deduct slots that are not in use here.
+func (alc *allocation) markUnreturned(vmi vmIncarnation) {
+	if alc.res.Kind == KindSlots {
+		alc.unreturned[vmi] = true
 	}
 }
 
-// giveBack tells a lender that its grants below the sequence are not in use any more.
-func (pol *Pool) giveBack(ctx context.Context, name string, cel *cell, one ask) {
-	err := pol.cfg.Peers.Call(ctx, one.peer.PeerAddress, ServiceName+".Return", &ReturnArgs{
+// returnLoans returns to a lender its grants below the request's sequence.
+func (pol *Pool) returnLoans(ctx context.Context, name string, alc *allocation, req loanRequest) {
+	err := pol.cfg.Peers.Call(ctx, req.peer.PeerAddress, ServiceName+".Return", &ReturnArgs{
 		Resource:    name,
 		VM:          pol.cfg.Owner.VM,
 		Incarnation: pol.cfg.Owner.Incarnation,
-		Sequence:    one.sequence,
+		Sequence:    req.sequence,
 	}, &ReturnReply{})
 	if err == nil {
 		return
 	}
-	cel.mtx.Lock()
-	defer cel.mtx.Unlock()
-	cel.markEnded(party{
-		vm:          one.peer.ID,
-		incarnation: one.peer.Incarnation,
+	alc.mtx.Lock()
+	defer alc.mtx.Unlock()
+	alc.markUnreturned(vmIncarnation{
+		vm:          req.peer.ID,
+		incarnation: req.peer.Incarnation,
 	})
 }
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -19,10 +19,10 @@
 	seeds = flag.Int64("share-seeds", 20, "number of simulated fleets")
 )
 
-// tick advances the fleet by 100 ms: work ends and starts, VMs visit ledgers and borrow.
-func (wld *world) tick(demand func(*vm) int) {
-	wld.now = wld.now.Add(100 * time.Millisecond)
-	for _, one := range wld.vms {
+// tick advances the fleet by 100 ms: work ends and starts, VMs rebalance ledgers and borrow.
+func (sml *sim) tick(demand func(*vm) int) {
+	sml.now = sml.now.Add(100 * time.Millisecond)
+	for _, one := range sml.vms {
 		if one.crashed {
 			continue
 		}
@@ -30,15 +30,15 @@
 		if one.paused {
 			continue
 		}
-		if wld.rnd.Intn(20) == 0 {
+		if sml.rnd.Intn(20) == 0 {
 			one.pol.Rebalance(context.Background())
 		}
 		one.pol.BorrowRound(context.Background())
 		for range demand(one) {
 			release, ok := one.pol.Slots("slots/kiosk-core/delta").TryAcquire()
 			if ok {
-				length := time.Duration(wld.rnd.Int63n(int64(linger)))
-				one.held = append(one.held, work{release: release, done: wld.now.Add(length)})
+				length := time.Duration(sml.rnd.Int63n(int64(maxRunTime)))
+				one.running = append(one.running, work{release: release, done: sml.now.Add(length)})
 			}
 			one.pol.Rate("link/gulf/delta").Allow(500, "short")
 		}
@@ -46,20 +46,20 @@
 }
 
 func (one *vm) finishWork() {
-	kept := one.held[:0]
-	for _, wrk := range one.held {
-		if wrk.done.After(one.wld.now) {
+	kept := one.running[:0]
+	for _, wrk := range one.running {
+		if wrk.done.After(one.sml.now) {
 			kept = append(kept, wrk)
 			continue
 		}
 		wrk.release()
 	}
-	one.held = kept
+	one.running = kept
 }
 
-// check returns the units of each resource that all VMs together could use or use now. A crashed VM uses none.
-func (wld *world) check() (rates, slots int64) {
-	for _, one := range wld.vms {
+// inUse returns the usable bytes per second and the slots in use of all VMs together. A crashed VM uses none.
+func (sml *sim) inUse() (rates, slots int64) {
+	for _, one := range sml.vms {
 		if one.crashed {
 			continue
 		}
@@ -67,28 +67,28 @@
 			if res.Name == "link/gulf/delta" {
 				rates += res.Usable
 			} else {
-				slots += max(res.InUse, int64(len(one.held)))
+				slots += max(res.InUse, int64(len(one.running)))
 			}
 		}
 	}
 	return rates, slots
 }
 
-// Guards against units that two VMs use at once: under crashes, restarts on the same VM, pauses, cuts in one or both
-// directions, store outages, lost answers, late writes, lapsed leases and clocks that run at different rates.
+// Guards against units that two VMs use at once, under crashes, restarts on the same VM, pauses, one-way and two-way
+// partitions, store outages, lost replies, delayed writes, lapsed leases and clocks that run at different rates.
 func TestSumStaysUnderCap(t *testing.T) {
 	for num := *seed; num < *seed+*seeds; num++ {
-		wld := newWorld(num, 7)
+		sml := newSim(num, 7)
 		var trace []string
 		for step := range 1200 {
-			if wld.rnd.Intn(10) == 0 {
-				if what := wld.fault(true); what != "" {
-					trace = append(trace, wld.now.Format("04:05.0 ")+what)
+			if sml.rnd.Intn(10) == 0 {
+				if what := sml.fault(true); what != "" {
+					trace = append(trace, sml.now.Format("04:05.0 ")+what)
 				}
 			}
-			wld.tick(func(*vm) int { return wld.rnd.Intn(8) })
-			rates, slots := wld.check()
-			if rates > wld.capacity["link/gulf/delta"] || slots > wld.capacity["slots/kiosk-core/delta"] {
+			sml.tick(func(*vm) int { return sml.rnd.Intn(8) })
+			rates, slots := sml.inUse()
+			if rates > sml.capacity["link/gulf/delta"] || slots > sml.capacity["slots/kiosk-core/delta"] {
 				tail := trace[max(0, len(trace)-12):]
 				t.Fatalf("seed %d step %d: %d bytes/s and %d slots can be used; last faults %q (-share-seed)", num, step, rates, slots, tail)
 			}
@@ -96,29 +96,29 @@
 	}
 }
 
-// Guards against the obvious division, cap by number of live VMs, passing the same check: if it did, the check above
-// could not fail.
+// Guards against a check that can't fail: the naive division, cap by number of live VMs, must exceed the cap under the faults
+// of TestSumStaysUnderCap.
 func TestEqualDivisionByViewExceedsCap(t *testing.T) {
 	exceeded := false
 	for num := *seed; num < *seed+*seeds && !exceeded; num++ {
-		wld := newWorld(num, 7)
+		sml := newSim(num, 7)
 		for range 1200 {
-			if wld.rnd.Intn(10) == 0 {
-				wld.fault(true)
+			if sml.rnd.Intn(10) == 0 {
+				sml.fault(true)
 			}
 			var sum int64
-			for _, one := range wld.vms {
+			for _, one := range sml.vms {
 				alive := int64(0)
-				for _, oth := range wld.vms {
+				for _, oth := range sml.vms {
 					if one.member(oth).State == 0 {
 						alive++
 					}
 				}
 				if !one.crashed && alive > 0 {
-					sum += wld.capacity["link/gulf/delta"] / alive
+					sum += sml.capacity["link/gulf/delta"] / alive
 				}
 			}
-			exceeded = exceeded || sum > wld.capacity["link/gulf/delta"]
+			exceeded = exceeded || sum > sml.capacity["link/gulf/delta"]
 		}
 	}
 	if !exceeded {
@@ -126,26 +126,26 @@
 	}
 }
 
-// Guards against a storm on two of seven VMs that is held to two sevenths of a cap: within two seconds they must have
-// four fifths of it, the store being out.
+// Guards against an overload of two of seven VMs that is limited to two sevenths of a cap: within two seconds they must have
+// four fifths of it, while the store is down.
 func TestDemandMovesUnits(t *testing.T) {
-	wld := newWorld(*seed, 7)
+	sml := newSim(*seed, 7)
 	for range 400 {
-		wld.tick(func(*vm) int { return 0 })
+		sml.tick(func(*vm) int { return 0 })
 	}
-	wld.down = true
-	before := usableBytes(wld.vms[:2])
+	sml.down = true
+	before := usableBytes(sml.vms[:2])
 	for range 20 {
-		wld.tick(func(one *vm) int {
-			if one == wld.vms[0] || one == wld.vms[1] {
+		sml.tick(func(one *vm) int {
+			if one == sml.vms[0] || one == sml.vms[1] {
 				return 40
 			}
 			return 0
 		})
 	}
-	after := usableBytes(wld.vms[:2])
-	t.Logf("two VMs: %d bytes/s before, %d after 2 s of demand, cap %d", before, after, wld.capacity["link/gulf/delta"])
-	if want := wld.capacity["link/gulf/delta"] * 4 / 5; after < want {
+	after := usableBytes(sml.vms[:2])
+	t.Logf("two VMs: %d bytes/s before, %d after 2 s of demand, cap %d", before, after, sml.capacity["link/gulf/delta"])
+	if want := sml.capacity["link/gulf/delta"] * 4 / 5; after < want {
 		t.Fatalf("two VMs can use %d bytes/s after 2 s, want %d", after, want)
 	}
 }
@@ -161,8 +161,9 @@
 	return sum
 }
 
-// Guards against units that stay lost: of VMs that left, that restarted, and that died for longer than a lease.
-func TestUnitsComeBack(t *testing.T) {
+// Guards against units that are never reassigned: of VMs that left, that restarted, and that crashed and stay down for longer
+// than a lease.
+func TestUnitsAreReassigned(t *testing.T) {
 	tests := []struct {
 		name string
 		gone func(one *vm)
@@ -182,54 +183,54 @@
 			wait: 30 * time.Second,
 		},
 		{
-			name: "death",
+			name: "crash",
 			gone: func(one *vm) { one.crashed = true },
 			wait: leaseTTL + 30*time.Second,
 		},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			wld := newWorld(*seed, 7)
+			sml := newSim(*seed, 7)
 			for range 400 {
-				wld.tick(func(*vm) int { return 0 })
+				sml.tick(func(*vm) int { return 0 })
 			}
-			tst.gone(wld.vms[3])
+			tst.gone(sml.vms[3])
 			for range int(tst.wait / (100 * time.Millisecond)) {
-				wld.tick(func(*vm) int { return 0 })
+				sml.tick(func(*vm) int { return 0 })
 			}
-			rates, _ := wld.check()
-			if want := wld.capacity["link/gulf/delta"] * 95 / 100; rates < want {
+			rates, _ := sml.inUse()
+			if want := sml.capacity["link/gulf/delta"] * 95 / 100; rates < want {
 				t.Fatalf("all VMs together can use %d bytes/s, want %d", rates, want)
 			}
 		})
 	}
 }
 
-// Guards against a lower cap that takes effect only when every VM has been at the store.
+// Guards against a lower cap that takes effect only after every VM has reached the store.
 func TestLowerCapHoldsAtOnce(t *testing.T) {
-	wld := newWorld(*seed, 7)
+	sml := newSim(*seed, 7)
 	for range 400 {
-		wld.tick(func(*vm) int { return 0 })
+		sml.tick(func(*vm) int { return 0 })
 	}
-	wld.down = true
-	wld.capacity["link/gulf/delta"] /= 4
-	for _, one := range wld.vms {
+	sml.down = true
+	sml.capacity["link/gulf/delta"] /= 4
+	for _, one := range sml.vms {
 		one.setResources(2)
 	}
-	if rates, _ := wld.check(); rates > wld.capacity["link/gulf/delta"] {
-		t.Fatalf("%d bytes/s can be used, the cap is %d", rates, wld.capacity["link/gulf/delta"])
+	if rates, _ := sml.inUse(); rates > sml.capacity["link/gulf/delta"] {
+		t.Fatalf("%d bytes/s can be used, the cap is %d", rates, sml.capacity["link/gulf/delta"])
 	}
-	wld.down = false
+	sml.down = false
 	for range 600 {
-		wld.tick(func(*vm) int { return 0 })
-		if rates, _ := wld.check(); rates > wld.capacity["link/gulf/delta"] {
-			t.Fatalf("%d bytes/s can be used, the cap is %d", rates, wld.capacity["link/gulf/delta"])
+		sml.tick(func(*vm) int { return 0 })
+		if rates, _ := sml.inUse(); rates > sml.capacity["link/gulf/delta"] {
+			t.Fatalf("%d bytes/s can be used, the cap is %d", rates, sml.capacity["link/gulf/delta"])
 		}
 	}
 }
 
-// Guards against a lower cap of which little can be used: an owner that died keeps its units in the ledger, so that the lower
-// capacity can't be written, and the others both lower their entries and scale them down.
+// Guards against a lower cap of which little can be used: an owner that crashed keeps its units in the ledger, so that the
+// lower capacity can't be written, and the others both lower their entries and scale them down.
 func TestLowerCapWithDeadOwners(t *testing.T) {
 	led := share.Ledger{
 		Capacity:         210,
@@ -268,7 +269,7 @@
 	}
 }
 
-// Guards against an owner that stays without any slot while another owner has two and its equal part is one.
+// Guards against an owner that stays without a slot while another owner has two and an equal share is one.
 func TestSlotsForEachOwner(t *testing.T) {
 	led := share.Ledger{
 		Capacity:         12,
@@ -298,7 +299,8 @@
 	}
 }
 
-// Guards against a plan that raises the sum above the capacity, touches another owner's units, or takes more than is held.
+// Guards against a plan that raises the sum above the capacity, changes another owner's units, or counts on more units than are
+// confirmed.
 func TestPlanProperties(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(*seed)
 	params.MinSuccessfulTests = 2000
@@ -342,44 +344,44 @@
 	props.TestingRun(t)
 }
 
-// Guards against an owner that goes on using units which its own write, with a lost or late answer, has given away.
+// Guards against an owner that continues to use units which its own write, with a lost reply or delayed effect, has released.
 func TestLostAnswerOfLowering(t *testing.T) {
 	const (
-		tookEffect = 0
-		comesLate  = 1
-		clean      = 11
+		tookEffect  = 0
+		delayed     = 1
+		normalWrite = 11
 	)
-	for _, kind := range []int{tookEffect, comesLate} {
-		wld := newWorld(*seed, 2)
-		one, two := wld.vms[0], wld.vms[1]
-		visit := func(who *vm, fault int) {
-			// The store is out of reach after the faulty write, so that its outcome can't be read back.
-			wld.putFault = func() int {
-				wld.down = true
+	for _, kind := range []int{tookEffect, delayed} {
+		sml := newSim(*seed, 2)
+		one, two := sml.vms[0], sml.vms[1]
+		rebalanceWithFault := func(who *vm, fault int) {
+			// The store is down after the faulty write, so that its outcome can't be read back.
+			sml.putFault = func() int {
+				sml.down = true
 				return fault
 			}
 			who.pol.Rebalance(context.Background())
-			wld.down = false
+			sml.down = false
 		}
-		settle := func(who *vm) {
-			wld.putFault = func() int { return clean }
+		rebalanceNormally := func(who *vm) {
+			sml.putFault = func() int { return normalWrite }
 			who.pol.Rebalance(context.Background())
 		}
-		settle(one)
-		settle(two)
-		visit(one, kind)
-		for _, write := range wld.late {
+		rebalanceNormally(one)
+		rebalanceNormally(two)
+		rebalanceWithFault(one, kind)
+		for _, write := range sml.delayedWrites {
 			write()
 		}
-		settle(two)
-		if rates, _ := wld.check(); rates > wld.capacity["link/gulf/delta"] {
-			t.Fatalf("kind %d: %d bytes/s can be used, the cap is %d", kind, rates, wld.capacity["link/gulf/delta"])
+		rebalanceNormally(two)
+		if rates, _ := sml.inUse(); rates > sml.capacity["link/gulf/delta"] {
+			t.Fatalf("kind %d: %d bytes/s can be used, the cap is %d", kind, rates, sml.capacity["link/gulf/delta"])
 		}
 	}
 }
 
-// Guards against slots that stay deducted from their owners for the longest time of a request after the borrower needs them no
-// more: one second after its work ended, nothing may be lent.
+// Guards against slots that stay deducted from their owners for the longest time of a request although the borrower no longer
+// needs them: one second after its work ended, nothing may be lent.
 func TestUnneededSlotsAreReturned(t *testing.T) {
 	for num := *seed; num < *seed+8; num++ {
 		if left := lentAfterDemand(t, num); left != 0 {
@@ -390,13 +392,13 @@
 
 func lentAfterDemand(t *testing.T, num int64) (left int64) {
 	t.Helper()
-	wld := newWorld(num, 7)
+	sml := newSim(num, 7)
 	for range 400 {
-		wld.tick(func(*vm) int { return 0 })
+		sml.tick(func(*vm) int { return 0 })
 	}
-	busy := wld.vms[0]
+	busy := sml.vms[0]
 	for range 20 {
-		wld.tick(func(one *vm) int {
+		sml.tick(func(one *vm) int {
 			if one == busy {
 				return 60
 			}
@@ -404,7 +406,7 @@
 		})
 	}
 	lent := func() (sum int64) {
-		for _, one := range wld.vms {
+		for _, one := range sml.vms {
 			for _, res := range one.pol.State().Resources {
 				if res.Name == "slots/kiosk-core/delta" {
 					for _, lon := range res.Lent {
@@ -418,23 +420,23 @@
 	if lent() == 0 {
 		t.Fatal("nothing was lent under demand")
 	}
-	for _, wrk := range busy.held {
+	for _, wrk := range busy.running {
 		wrk.release()
 	}
-	busy.held = nil
+	busy.running = nil
 	for range 10 {
-		wld.tick(func(*vm) int { return 0 })
+		sml.tick(func(*vm) int { return 0 })
 	}
 	return lent()
 }
 
-// Guards against slots that stay in the ledger after a planned stop because they were lent when it ended.
-func TestStopBringsLentSlotsBack(t *testing.T) {
-	wld := newWorld(*seed, 7)
+// Guards against slots that stay in the ledger after a planned stop because they are still lent when it ends.
+func TestStopReturnsLentSlots(t *testing.T) {
+	sml := newSim(*seed, 7)
 	for range 400 {
-		wld.tick(func(*vm) int { return 0 })
+		sml.tick(func(*vm) int { return 0 })
 	}
-	busy, stopping := wld.vms[0], wld.vms[1]
+	busy, stopping := sml.vms[0], sml.vms[1]
 	demand := func(one *vm) int {
 		if one == busy {
 			return 60
@@ -442,12 +444,12 @@
 		return 0
 	}
 	for range 20 {
-		wld.tick(demand)
+		sml.tick(demand)
 	}
 	stopping.pol.StopLending()
-	// A loan ends after 2 s and the work on it after 5 s more.
+	// A loan ends after 2 s, and the work on its slots at most 5 s later.
 	for range 80 {
-		wld.tick(demand)
+		sml.tick(demand)
 	}
 	if err := stopping.pol.Release(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/share/sim_test.go
+++ b/internal/fleet/share/sim_test.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	leaseTTL = time.Minute
-	loanTTL  = 2 * time.Second
-	linger   = 5 * time.Second
+	leaseTTL   = time.Minute
+	loanTTL    = 2 * time.Second
+	maxRunTime = 5 * time.Second
 )
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("unreachable")
 
-// world is a fleet in simulated time: a store with faults, a network with cuts, VMs that crash, pause and restart.
-type world struct {
-	rnd      *rand.Rand
-	mtx      sync.Mutex
-	now      time.Time
-	values   map[string]cardamompass.Value
-	leases   map[cardamompass.LeaseID]time.Time
-	late     []func()
-	down     bool
-	nextID   int64
-	vms      []*vm
-	capacity map[string]int64
-	// putFault overrides the random choice of what happens to a write.
+// sim is a fleet in simulated time: a store with faults, a network with partitions, VMs that crash, pause and restart.
+type sim struct {
+	rnd           *rand.Rand
+	mtx           sync.Mutex
+	now           time.Time
+	values        map[string]cardamompass.Value
+	leases        map[cardamompass.LeaseID]time.Time
+	delayedWrites []func()
+	down          bool
+	nextID        int64
+	vms           []*vm
+	capacity      map[string]int64
+	// putFault overrides the random choice of the fault of a write, see store.Put.
 	putFault func() int
 }
 
 // vm is one entry VM. Its clock runs up to 1% fast or slow.
 type vm struct {
-	wld     *world
-	id      cardamompass.VMID
-	inc     cardamompass.Incarnation
-	skew    float64
-	paused  bool
-	crashed bool
-	cut     map[cardamompass.VMID]bool
-	noStore bool
-	pol     *share.Pool
-	held    []work
+	sml      *sim
+	id       cardamompass.VMID
+	inc      cardamompass.Incarnation
+	skew     float64
+	paused   bool
+	crashed  bool
+	cut      map[cardamompass.VMID]bool
+	storeCut bool
+	pol      *share.Pool
+	running  []work
 }
 
 // work occupies a slot until it is done.
@@ -63,7 +63,7 @@
 
 func (clk clock) Now() time.Time {
 	base := time.Unix(0, 0)
-	past := clk.vms.wld.now.Sub(base)
+	past := clk.vms.sml.now.Sub(base)
 	return base.Add(time.Duration(float64(past) * clk.vms.skew))
 }
 
@@ -71,8 +71,8 @@
 	return cardamompass.SystemClock{}.NewTimer(d)
 }
 
-func newWorld(seed int64, count int) *world {
-	wld := &world{
+func newSim(seed int64, count int) *sim {
+	sml := &sim{
 		rnd:    rand.New(rand.NewSource(seed)),
 		now:    time.Unix(1000, 0),
 		values: map[string]cardamompass.Value{},
@@ -83,22 +83,22 @@
 		},
 	}
 	for num := range count {
-		wld.vms = append(wld.vms, &vm{
-			wld: wld,
+		sml.vms = append(sml.vms, &vm{
+			sml: sml,
 			id:  cardamompass.VMID("vm-" + strconv.Itoa(num)),
 			cut: map[cardamompass.VMID]bool{},
 		})
 	}
-	for _, one := range wld.vms {
+	for _, one := range sml.vms {
 		one.start()
 	}
-	return wld
+	return sml
 }
 
 func (one *vm) start() {
 	one.inc++
-	one.crashed, one.paused, one.held = false, false, nil
-	one.skew = 0.995 + one.wld.rnd.Float64()/100
+	one.crashed, one.paused, one.running = false, false, nil
+	one.skew = 0.995 + one.sml.rnd.Float64()/100
 	one.pol = share.New(share.Config{
 		Owner: share.Owner{
 			VM:          one.id,
@@ -112,7 +112,7 @@
 		Log:      zap.NewNop(),
 		LeaseTTL: leaseTTL,
 		LoanTTL:  loanTTL,
-		Random:   one.wld.rnd.Int63n,
+		Random:   one.sml.rnd.Int63n,
 	})
 	one.setResources(1)
 }
@@ -122,69 +122,69 @@
 		{
 			Name:        "link/gulf/delta",
 			Kind:        share.KindRate,
-			Capacity:    one.wld.capacity["link/gulf/delta"],
+			Capacity:    one.sml.capacity["link/gulf/delta"],
 			LongPercent: 80,
 		},
 		{
 			Name:       "slots/kiosk-core/delta",
 			Kind:       share.KindSlots,
-			Capacity:   one.wld.capacity["slots/kiosk-core/delta"],
-			MaxRunTime: linger,
+			Capacity:   one.sml.capacity["slots/kiosk-core/delta"],
+			MaxRunTime: maxRunTime,
 		},
 	}, version)
 }
 
-// store is the store as one VM reaches it.
+// store is one VM's access to the store.
 type store struct{ vms *vm }
 
-func (sto store) reach() error {
-	if sto.vms.wld.down || sto.vms.noStore {
-		return errCut
+func (sto store) reachable() error {
+	if sto.vms.sml.down || sto.vms.storeCut {
+		return errUnreachable
 	}
 	return nil
 }
 
 func (sto store) Get(_ context.Context, key string) (cardamompass.Value, error) {
-	if err := sto.reach(); err != nil {
+	if err := sto.reachable(); err != nil {
 		return cardamompass.Value{}, err
 	}
-	val, ok := sto.vms.wld.values[key]
+	val, ok := sto.vms.sml.values[key]
 	if !ok {
 		return val, &cardamompass.NotFoundError{Key: key}
 	}
 	return val, nil
 }
 
-// Put loses some answers; of those, some writes take effect at once, some later if their revision still holds, some never.
+// Put loses some replies. Of these writes, some take effect at once, some later if their revision still matches, some never.
 func (sto store) Put(_ context.Context, key string, data []byte, revision int64) (val cardamompass.Value, err error) {
-	wld := sto.vms.wld
-	if err := sto.reach(); err != nil {
+	sml := sto.vms.sml
+	if err := sto.reachable(); err != nil {
 		return val, err
 	}
 	write := func() error {
-		if have := wld.values[key].Revision; have != revision {
+		if have := sml.values[key].Revision; have != revision {
 			return &cardamompass.ConflictError{Key: key, Want: revision, Have: have}
 		}
-		wld.nextID++
-		wld.values[key] = cardamompass.Value{Key: key, Data: data, Revision: wld.nextID}
+		sml.nextID++
+		sml.values[key] = cardamompass.Value{Key: key, Data: data, Revision: sml.nextID}
 		return nil
 	}
-	kind := wld.rnd.Intn(12)
-	if wld.putFault != nil {
-		kind = wld.putFault()
+	kind := sml.rnd.Intn(12)
+	if sml.putFault != nil {
+		kind = sml.putFault()
 	}
 	switch kind {
 	case 0:
 		_ = write()
-		return val, &cardamompass.WriteUnknownError{Key: key, Err: errCut}
+		return val, &cardamompass.WriteUnknownError{Key: key, Err: errUnreachable}
 	case 1:
-		wld.late = append(wld.late, func() { _ = write() })
-		return val, &cardamompass.WriteUnknownError{Key: key, Err: errCut}
+		sml.delayedWrites = append(sml.delayedWrites, func() { _ = write() })
+		return val, &cardamompass.WriteUnknownError{Key: key, Err: errUnreachable}
 	case 2:
-		return val, &cardamompass.WriteUnknownError{Key: key, Err: errCut}
+		return val, &cardamompass.WriteUnknownError{Key: key, Err: errUnreachable}
 	}
 	err = write()
-	return wld.values[key], err
+	return sml.values[key], err
 }
 
 func (sto store) Watch(ctx context.Context, key string, _ int64, _ time.Duration) (cardamompass.Value, error) {
@@ -192,51 +192,51 @@
 }
 
 func (sto store) Grant(_ context.Context, ttl time.Duration) (lse cardamompass.Lease, err error) {
-	if err := sto.reach(); err != nil {
+	if err := sto.reachable(); err != nil {
 		return lse, err
 	}
-	wld := sto.vms.wld
-	wld.nextID++
-	lse.ID = cardamompass.LeaseID(strconv.FormatInt(wld.nextID, 10))
-	wld.leases[lse.ID] = wld.now.Add(ttl)
+	sml := sto.vms.sml
+	sml.nextID++
+	lse.ID = cardamompass.LeaseID(strconv.FormatInt(sml.nextID, 10))
+	sml.leases[lse.ID] = sml.now.Add(ttl)
 	return lse, nil
 }
 
 func (sto store) Renew(ctx context.Context, id cardamompass.LeaseID) (lse cardamompass.Lease, err error) {
 	if lse, err = sto.Inspect(ctx, id); err == nil {
-		sto.vms.wld.leases[id] = sto.vms.wld.now.Add(leaseTTL)
+		sto.vms.sml.leases[id] = sto.vms.sml.now.Add(leaseTTL)
 	}
 	return lse, err
 }
 
 func (sto store) Inspect(_ context.Context, id cardamompass.LeaseID) (lse cardamompass.Lease, err error) {
-	if err := sto.reach(); err != nil {
+	if err := sto.reachable(); err != nil {
 		return lse, err
 	}
-	if !sto.vms.wld.now.Before(sto.vms.wld.leases[id]) {
+	if !sto.vms.sml.now.Before(sto.vms.sml.leases[id]) {
 		return lse, &cardamompass.NotFoundError{Key: string(id)}
 	}
 	return cardamompass.Lease{ID: id}, nil
 }
 
 func (sto store) Revoke(_ context.Context, id cardamompass.LeaseID) error {
-	delete(sto.vms.wld.leases, id)
+	delete(sto.vms.sml.leases, id)
 	return nil
 }
 
-// peers are the other VMs as one VM reaches them. Some answers are lost after the call took effect.
+// peers is one VM's access to the other VMs. Some replies are lost after the call took effect.
 type peers struct{ vms *vm }
 
 func (prs peers) Call(_ context.Context, address, method string, args, reply any) error {
-	prs.vms.wld.mtx.Lock()
-	defer prs.vms.wld.mtx.Unlock()
-	for _, oth := range prs.vms.wld.vms {
+	prs.vms.sml.mtx.Lock()
+	defer prs.vms.sml.mtx.Unlock()
+	for _, oth := range prs.vms.sml.vms {
 		if string(oth.id) != address {
 			continue
 		}
 		// One call in twenty is lost before it takes effect, one in ten of the others after it.
-		if oth.crashed || oth.paused || prs.vms.cut[oth.id] || prs.vms.wld.rnd.Intn(20) == 0 {
-			return errCut
+		if oth.crashed || oth.paused || prs.vms.cut[oth.id] || prs.vms.sml.rnd.Intn(20) == 0 {
+			return errUnreachable
 		}
 		var err error
 		switch method {
@@ -247,21 +247,21 @@
 		case "Share.Return":
 			err = oth.pol.Service().Return(args.(*share.ReturnArgs), reply.(*share.ReturnReply))
 		}
-		if oth.cut[prs.vms.id] || prs.vms.wld.rnd.Intn(10) == 0 {
-			return errCut
+		if oth.cut[prs.vms.id] || prs.vms.sml.rnd.Intn(10) == 0 {
+			return errUnreachable
 		}
 		return err
 	}
-	return errCut
+	return errUnreachable
 }
 
-// members sees crashed and paused VMs as dead, and the others as alive.
+// members reports VMs that are crashed, paused or cut off as dead, and the others as alive.
 type members struct{ vms *vm }
 
 func (mbs members) Self() cardamompass.Member { return mbs.vms.member(mbs.vms) }
 
 func (mbs members) Members() (list []cardamompass.Member) {
-	for _, oth := range mbs.vms.wld.vms {
+	for _, oth := range mbs.vms.sml.vms {
 		list = append(list, mbs.vms.member(oth))
 	}
 	return list
@@ -282,13 +282,13 @@
 	}
 }
 
-// fault makes one random failure, or ends some.
-func (wld *world) fault(extra bool) string {
-	one := wld.vms[wld.rnd.Intn(len(wld.vms))]
-	oth := wld.vms[wld.rnd.Intn(len(wld.vms))]
-	switch wld.rnd.Intn(9) {
+// fault starts or ends a random fault and returns its description.
+func (sml *sim) fault(skipTime bool) string {
+	one := sml.vms[sml.rnd.Intn(len(sml.vms))]
+	oth := sml.vms[sml.rnd.Intn(len(sml.vms))]
+	switch sml.rnd.Intn(9) {
 	case 0:
-		one.crashed, one.held = true, nil
+		one.crashed, one.running = true, nil
 		return fmt.Sprint("crash ", one.id)
 	case 1:
 		if one.crashed {
@@ -302,20 +302,20 @@
 		one.cut[oth.id] = !one.cut[oth.id]
 		return fmt.Sprint("cut ", one.id, oth.id, one.cut[oth.id])
 	case 4:
-		wld.down = !wld.down
-		return fmt.Sprint("store down ", wld.down)
+		sml.down = !sml.down
+		return fmt.Sprint("store down ", sml.down)
 	case 5:
-		one.noStore = !one.noStore
-		return fmt.Sprint("no store ", one.id, one.noStore)
+		one.storeCut = !one.storeCut
+		return fmt.Sprint("store cut ", one.id, one.storeCut)
 	case 6:
-		for _, write := range wld.late {
+		for _, write := range sml.delayedWrites {
 			write()
 		}
-		wld.late = nil
-		return "late writes"
+		sml.delayedWrites = nil
+		return "delayed writes take effect"
 	case 7:
-		if extra {
-			wld.now = wld.now.Add(leaseTTL / 2)
+		if skipTime {
+			sml.now = sml.now.Add(leaseTTL / 2)
 			return "half a lease passes"
 		}
 	}
--- a/internal/fleet/share/state.go
+++ b/internal/fleet/share/state.go
@@ -15,24 +15,24 @@
 
 // ResourceState is one resource in a state dump.
 type ResourceState struct {
-	Name     string      `json:"name"`
-	Capacity int64       `json:"capacity"`
-	Owned    int64       `json:"owned"`
-	Usable   int64       `json:"usable"`
-	InUse    int64       `json:"in-use"`
-	Short    bool        `json:"short"`
-	Lent     []LoanState `json:"lent,omitempty"`
-	Borrowed []LoanState `json:"borrowed,omitempty"`
+	Name        string      `json:"name"`
+	Capacity    int64       `json:"capacity"`
+	Owned       int64       `json:"owned"`
+	Usable      int64       `json:"usable"`
+	InUse       int64       `json:"in-use"`
+	UnmetDemand bool        `json:"short"`
+	Lent        []LoanState `json:"lent,omitempty"`
+	Borrowed    []LoanState `json:"borrowed,omitempty"`
 }
 
-// State is the state of a Pool for a dump.
+// State is the state of a Pool in a state dump.
 type State struct {
 	LeaseID       cardamompass.LeaseID `json:"lease-id"`
 	LeaseTimeLeft string               `json:"lease-time-left"`
 	Resources     []ResourceState      `json:"resources"`
 }
 
-// State returns a snapshot for a dump.
+// State returns a snapshot of the pool for a state dump.
 func (pol *Pool) State() (sta State) {
 	now := pol.cfg.Clock.Now()
 	lse := pol.lease.Load()
@@ -41,39 +41,39 @@
 		LeaseTimeLeft: timeLeft(lse.ends, now),
 	}
 	for _, name := range pol.names() {
-		sta.Resources = append(sta.Resources, pol.cell(name).state(now, lse.ends))
+		sta.Resources = append(sta.Resources, pol.allocation(name).state(now, lse.ends))
 	}
 	return sta
 }
 
-func (cel *cell) state(now, leaseEnds time.Time) (sta ResourceState) {
-	cel.mtx.Lock()
-	defer cel.mtx.Unlock()
+func (alc *allocation) state(now, leaseEnds time.Time) (sta ResourceState) {
+	alc.mtx.Lock()
+	defer alc.mtx.Unlock()
 	sta = ResourceState{
-		Name:     cel.res.Name,
-		Capacity: cel.res.Capacity,
-		Owned:    cel.units,
-		Usable:   cel.usable(now, leaseEnds),
-		InUse:    cel.inUse,
-		Short:    cel.short(now),
+		Name:        alc.res.Name,
+		Capacity:    alc.res.Capacity,
+		Owned:       alc.units,
+		Usable:      alc.usable(now, leaseEnds),
+		InUse:       alc.inUse,
+		UnmetDemand: alc.hasUnmetDemand(now),
 	}
-	if cel.res.Kind == KindRate {
-		sta.InUse = cel.use.perSecond(now)
+	if alc.res.Kind == KindRate {
+		sta.InUse = alc.usage.perSecond(now)
 	}
-	for pty, grants := range cel.lent.grants {
-		for _, lnd := range grants {
+	for vmi, grants := range alc.lent.byBorrower {
+		for _, grt := range grants {
 			sta.Lent = append(sta.Lent, LoanState{
-				VM:       pty.vm,
-				Units:    lnd.units,
-				TimeLeft: timeLeft(lnd.ends, now),
+				VM:       vmi.vm,
+				Units:    grt.units,
+				TimeLeft: timeLeft(grt.ends, now),
 			})
 		}
 	}
-	for pty, brw := range cel.borrowed {
+	for vmi, lon := range alc.borrowed {
 		sta.Borrowed = append(sta.Borrowed, LoanState{
-			VM:       pty.vm,
-			Units:    brw.units,
-			TimeLeft: timeLeft(brw.ends, now),
+			VM:       vmi.vm,
+			Units:    lon.units,
+			TimeLeft: timeLeft(lon.ends, now),
 		})
 	}
 	return sta
