--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -131,7 +131,7 @@
 			Balancer: nod.balancer,
 			Sender:   nod.sender,
 			View:     nod.follower.View,
-			StoreAge: nod.follower.Age,
+			StoreAge: nod.follower.StoreAge,
 			OnLoad:   nod.caster.RecordLoad,
 			OnCrash:  reports.crashed,
 			Dial:     send.Dialer(targetSilence),
--- a/internal/edge/node/state.go
+++ b/internal/edge/node/state.go
@@ -21,7 +21,7 @@
 	if vew.Table != nil {
 		scp.Gauge("table-version").Update(float64(vew.Table.Version))
 	}
-	scp.Gauge("store-age-seconds").Update(nod.follower.Age().Seconds())
+	scp.Gauge("store-age-seconds").Update(nod.follower.StoreAge().Seconds())
 	scp.Gauge("running-vms").Update(float64(len(nod.caster.OtherVMs()) + 1))
 	scp.Gauge("targets").Update(float64(len(vew.All())))
 	scp.Gauge("idle-connections").Update(float64(nod.sender.IdleCount()))
@@ -48,7 +48,7 @@
 		VM:       nod.self.ID,
 		Stopping: nod.stopping.Load(),
 		Revision: vew.Revision,
-		StoreAge: nod.follower.Age().Seconds(),
+		StoreAge: nod.follower.StoreAge().Seconds(),
 		Active:   nod.front.Active(),
 		Balancer: nod.balancer.Dump(nod.cfg.Clock.Now()),
 	}
--- a/internal/fleet/view/follow.go
+++ b/internal/fleet/view/follow.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// watchWait is how long the store holds a watch without changes. A connection that went silent is noticed only when the wait is
+	// watchWait is how long the store holds a watch without changes. An unresponsive connection is detected only when the wait is
 	// over, and changes must be in force about two seconds after their acknowledgement.
 	watchWait = 1500 * time.Millisecond
-	// batchWait is the pause after changes for each running VM, between batchLeast and batchMost, so that changes in quick succession take
-	// one call. Calls are priced, each change costs every VM one, and changes have two seconds and more to come into force.
-	batchWait  = 30 * time.Millisecond
-	batchLeast = 400 * time.Millisecond
-	batchMost  = time.Second
-	// retryFirst and retryMost bound the pause after a failed call. Refused calls are priced like others.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
-	// listFirst and listMost bound a listing. It has the longer time when the store has just answered, and twice as long after each failure
-	// where it has not.
-	listFirst = 1500 * time.Millisecond
-	listMost  = 10 * time.Second
-	// outageWait is how long the store holds a watch while it is not known to answer. A call that the store never answers must not hide its
-	// return for long.
-	outageWait = 20 * time.Millisecond
-	// purgeInterval is the time between two looks for instances that did not register again.
+	// batchPerVM is the pause after changes for each running VM, between batchMin and batchMax, so that changes in quick succession
+	// are fetched with one call. Calls cost money, each change costs one call of every VM, and changes have at least two seconds
+	// to come into force.
+	batchPerVM = 30 * time.Millisecond
+	batchMin   = 400 * time.Millisecond
+	batchMax   = time.Second
+	// retryMin and retryMax bound the pause after a failed call. Refused calls cost as much as others.
+	retryMin = 100 * time.Millisecond
+	retryMax = 500 * time.Millisecond
+	// listTimeoutMin and listTimeoutMax bound the timeout of a listing. It is the longer one when the store has just answered;
+	// otherwise it starts with the shorter one and doubles with each listing.
+	listTimeoutMin = 1500 * time.Millisecond
+	listTimeoutMax = 10 * time.Second
+	// outageWatchWait is how long the store holds a watch during an outage. A call that the store never answers must not delay
+	// the detection of its recovery for long.
+	outageWatchWait = 20 * time.Millisecond
+	// purgeInterval is the time between two checks for instances that did not register again.
 	purgeInterval = 200 * time.Millisecond
 )
 
@@ -43,26 +44,26 @@
 	OnChange func(old, next *View)
 }
 
-// Follower keeps a View up to date.
+// Follower keeps a View up to date with the store.
 type Follower struct {
-	cfg     Config
-	current atomic.Pointer[View]
-	contact atomic.Int64 // time of the last answer of the store, in nanoseconds since the Unix epoch
-	out     Outage
-	listed  bool
-	list    time.Duration // limit of the next listing
-	pause   time.Duration
+	cfg         Config
+	current     atomic.Pointer[View]
+	lastAnswer  atomic.Int64 // time of the last answer of the store, in nanoseconds since the Unix epoch
+	outage      Outage
+	listed      bool
+	listTimeout time.Duration // of the next listing
+	retryPause  time.Duration
 }
 
-// New starts to follow the store and returns the function that ends it.
+// New starts to follow the store and returns the function that stops it.
 func New(cfg Config) (flw *Follower, cleanup func()) {
 	if cfg.OnChange == nil {
 		cfg.OnChange = func(*View, *View) {}
 	}
 	flw = &Follower{
-		cfg:   cfg,
-		list:  listFirst,
-		pause: retryFirst,
+		cfg:         cfg,
+		listTimeout: listTimeoutMin,
+		retryPause:  retryMin,
 	}
 	flw.current.Store(Empty())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -80,15 +81,15 @@
 // View returns the current view.
 func (flw *Follower) View() (vew *View) { return flw.current.Load() }
 
-// Age returns the time since the store's last answer; negative when there was none.
-func (flw *Follower) Age() (age time.Duration) {
-	if flw.contact.Load() == 0 {
+// StoreAge returns the time since the store's last answer; negative when there was none.
+func (flw *Follower) StoreAge() (age time.Duration) {
+	if flw.lastAnswer.Load() == 0 {
 		return -1
 	}
-	return flw.cfg.Clock.Now().Sub(time.Unix(0, flw.contact.Load()))
+	return flw.cfg.Clock.Now().Sub(time.Unix(0, flw.lastAnswer.Load()))
 }
 
-type fetched struct {
+type fetchResult struct {
 	chs      []cardamompass.Change
 	revision int64
 	listing  bool
@@ -97,21 +98,21 @@
 
 func (flw *Follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		got := make(chan fetched, 1)
+		got := make(chan fetchResult, 1)
 		go func() { got <- flw.fetch(ctx) }()
-		flw.settle(ctx, flw.await(got))
+		flw.handle(ctx, flw.await(got))
 		flw.purge()
 	}
 }
 
-// await waits for a call and meanwhile drops instances that did not register again.
-func (flw *Follower) await(got <-chan fetched) (ftc fetched) {
+// await waits for the result of a call and meanwhile removes instances that did not register again.
+func (flw *Follower) await(got <-chan fetchResult) (fre fetchResult) {
 	for {
 		tmr := flw.cfg.Clock.NewTimer(purgeInterval)
 		select {
-		case ftc = <-got:
+		case fre = <-got:
 			tmr.Stop()
-			return ftc
+			return fre
 		case <-tmr.C():
 			flw.purge()
 		}
@@ -119,7 +120,7 @@
 }
 
 func (flw *Follower) purge() {
-	if flw.out.Ongoing {
+	if flw.outage.Ongoing {
 		return
 	}
 	next, gone := flw.View().WithoutMissing(flw.cfg.Clock.Now())
@@ -131,58 +132,58 @@
 	}
 }
 
-func (flw *Follower) fetch(ctx context.Context) (ftc fetched) {
+func (flw *Follower) fetch(ctx context.Context) (fre fetchResult) {
 	if !flw.listed {
-		lctx, cancel := context.WithTimeout(ctx, flw.list)
+		lctx, cancel := context.WithTimeout(ctx, flw.listTimeout)
 		defer cancel()
-		flw.list = min(listMost, 2*flw.list)
-		ftc.listing = true
-		ftc.chs, ftc.revision, ftc.err = flw.cfg.Registry.List(lctx)
-		return ftc
+		flw.listTimeout = min(listTimeoutMax, 2*flw.listTimeout)
+		fre.listing = true
+		fre.chs, fre.revision, fre.err = flw.cfg.Registry.List(lctx)
+		return fre
 	}
 	wait := watchWait
-	if flw.out.Ongoing {
-		wait = outageWait
+	if flw.outage.Ongoing {
+		wait = outageWatchWait
 	}
-	ftc.chs, ftc.revision, ftc.err = flw.cfg.Registry.Watch(ctx, flw.View().Revision, wait)
-	return ftc
+	fre.chs, fre.revision, fre.err = flw.cfg.Registry.Watch(ctx, flw.View().Revision, wait)
+	return fre
 }
 
-func (flw *Follower) settle(ctx context.Context, ftc fetched) {
+func (flw *Follower) handle(ctx context.Context, fre fetchResult) {
 	var lost *cardamompass.HistoryLostError
-	if errors.As(ftc.err, &lost) {
-		flw.answered(flw.View().Revision)
+	if errors.As(fre.err, &lost) {
+		flw.recordAnswer(flw.View().Revision)
 		flw.cfg.Log.Warn("store history lost", zap.Int64("after", lost.After))
 		flw.listed = false
-		flw.list = listMost
+		flw.listTimeout = listTimeoutMax
 		return
 	}
-	if ftc.err != nil {
-		flw.failed(ctx, ftc.err)
+	if fre.err != nil {
+		flw.recordFailure(ctx, fre.err)
 		return
 	}
-	now := flw.answered(ftc.revision)
-	if !ftc.listing && len(ftc.chs) == 0 && ftc.revision == flw.View().Revision {
+	now := flw.recordAnswer(fre.revision)
+	if !fre.listing && len(fre.chs) == 0 && fre.revision == flw.View().Revision {
 		return
 	}
-	flw.note(ftc.chs)
-	if ftc.listing {
+	flw.logChanges(fre.chs)
+	if fre.listing {
 		flw.listed = true
-		flw.publish(flw.View().WithListing(ftc.chs, ftc.revision, flw.out, now))
+		flw.publish(flw.View().WithListing(fre.chs, fre.revision, flw.outage, now))
 		return
 	}
-	flw.publish(flw.View().WithChanges(ftc.chs, ftc.revision, flw.out, now))
-	pause := min(batchMost, max(batchLeast, batchWait*time.Duration(len(flw.View().vms))))
+	flw.publish(flw.View().WithChanges(fre.chs, fre.revision, flw.outage, now))
+	pause := min(batchMax, max(batchMin, batchPerVM*time.Duration(len(flw.View().vms))))
 	_ = cardamompass.Sleep(ctx, flw.cfg.Clock, pause) // run notices the end of ctx
 }
 
-// answered notes that the store answered, which ends an outage, and returns the time.
-func (flw *Follower) answered(revision int64) (now time.Time) {
+// recordAnswer records that the store answered, which ends an outage, and returns the current time.
+func (flw *Follower) recordAnswer(revision int64) (now time.Time) {
 	now = flw.cfg.Clock.Now()
-	flw.contact.Store(now.UnixNano())
-	flw.pause = retryFirst
-	if flw.out.Ongoing {
-		flw.out = Outage{
+	flw.lastAnswer.Store(now.UnixNano())
+	flw.retryPause = retryMin
+	if flw.outage.Ongoing {
+		flw.outage = Outage{
 			Ended: now,
 		}
 		flw.cfg.Log.Info("store regained", zap.Int64("revision", revision))
@@ -190,18 +191,18 @@
 	return now
 }
 
-func (flw *Follower) failed(ctx context.Context, err error) {
+func (flw *Follower) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if flw.out.Ongoing {
-		flw.cfg.Log.Info("store still lost", zap.Error(err), zap.Duration("age", flw.Age()))
+	if flw.outage.Ongoing {
+		flw.cfg.Log.Info("store still lost", zap.Error(err), zap.Duration("age", flw.StoreAge()))
 	} else {
-		flw.cfg.Log.Warn("store lost", zap.Error(err), zap.Duration("age", flw.Age()))
+		flw.cfg.Log.Warn("store lost", zap.Error(err), zap.Duration("age", flw.StoreAge()))
 	}
-	flw.out.Ongoing = true
-	_ = cardamompass.Sleep(ctx, flw.cfg.Clock, flw.pause) // run notices the end of ctx
-	flw.pause = min(2*flw.pause, retryMost)
+	flw.outage.Ongoing = true
+	_ = cardamompass.Sleep(ctx, flw.cfg.Clock, flw.retryPause) // run notices the end of ctx
+	flw.retryPause = min(2*flw.retryPause, retryMax)
 }
 
 func (flw *Follower) publish(next *View) {
@@ -214,8 +215,8 @@
 	flw.cfg.OnChange(old, next)
 }
 
-// note logs what changes.
-func (flw *Follower) note(chs []cardamompass.Change) {
+// logChanges logs changes of the store.
+func (flw *Follower) logChanges(chs []cardamompass.Change) {
 	for _, chg := range chs {
 		log := flw.cfg.Log.With(zap.Int64("revision", chg.Revision))
 		switch {
--- a/internal/fleet/view/follow_test.go
+++ b/internal/fleet/view/follow_test.go
@@ -13,7 +13,7 @@
 	"cardamompass/platform"
 )
 
-// changeBound is the time within which a target that leaves must get no more requests.
+// changeBound is the time after which a leaving target must get no more requests.
 const changeBound = 2 * time.Second
 
 func follow(t *testing.T) (sto *pstore.Store, flw *view.Follower) {
@@ -38,8 +38,8 @@
 	return sto, flw
 }
 
-// within waits until a condition holds and fails the test when it does not hold in time.
-func within(t *testing.T, limit time.Duration, what string, cond func() bool) {
+// waitFor waits until a condition holds and fails the test if it does not hold within the limit.
+func waitFor(t *testing.T, limit time.Duration, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Guards against a change after the store's return that is learned too late, because a call that was made before still waits for its
-// answer: 'slow-vms-and-partial-store' on mbmu-rain broke DRAIN with 2389 ms.
+// Guards against a change that is received too late after the recovery of the store, because a call from before still waits for its
+// answer. This broke DRAIN with 2389 ms in 'slow-vms-and-partial-store' on mbmu-rain.
 func TestChangeAfterOutage(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -64,41 +64,41 @@
 			t.Parallel()
 			sto, flw := follow(t)
 			sto.Put("op/config", map[string]any{"version": "00000001"})
-			within(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
+			waitFor(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
 			sto.Set(tst.faults)
 			time.Sleep(4 * time.Second) // several calls end without an answer
 			sto.Set(pstore.Faults{})
 			sto.Put("op/evacuate/z-1", 1)
-			within(t, changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
+			waitFor(t, changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
 		})
 	}
 }
 
-// Guards against a listing that never ends in time on a narrow link: 'scale-2 --seed 463022864839' on martban-net-grown broke DRAIN, because
-// a listing of 700 targets after a lost history was given up after 1.5 s again and again.
+// Guards against a listing that always times out on a slow link: a listing of 700 targets after a lost history timed out repeatedly
+// after 1.5 s, which broke DRAIN in 'scale-2 --seed 463022864839' on martban-net-grown.
 func TestSlowListing(t *testing.T) {
 	sto, flw := follow(t)
 	sto.Put("op/config", map[string]any{"version": "00000001"})
-	within(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
+	waitFor(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
 	sto.Set(pstore.Faults{Outage: true})
 	sto.Put("op/evacuate/z-1", 1)
 	sto.Compact()
 	sto.Set(pstore.Faults{DelayLists: changeBound})
-	within(t, 2*changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
+	waitFor(t, 2*changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
 }
 
-// Guards against changes that are lost with the store's history.
+// Guards against changes that are missed because the store discarded its history.
 func TestChangeInDiscardedHistory(t *testing.T) {
 	sto, flw := follow(t)
 	sto.Put("op/config", map[string]any{"version": "00000001"})
-	within(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
+	waitFor(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
 	sto.Set(pstore.Faults{Outage: true})
 	sto.Put("op/evacuate/z-1", 1)
 	sto.Delete("op/config")
 	sto.Compact()
 	sto.Set(pstore.Faults{})
-	within(t, changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
+	waitFor(t, changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
 	if flw.View().Table == nil {
-		t.Fatal("the routing table is forgotten")
+		t.Fatal("the routing table was removed")
 	}
 }
--- a/internal/fleet/view/purge_test.go
+++ b/internal/fleet/view/purge_test.go
@@ -13,7 +13,7 @@
 	"cardamompass/internal/fleet/view"
 )
 
-// busyRegistry is a store that was away for its second call and then has a change every few milliseconds.
+// busyRegistry is a store that fails its second call and then has a change every few milliseconds.
 type busyRegistry struct {
 	cardamompass.Registry
 	calls atomic.Int64
@@ -26,7 +26,7 @@
 func (reg *busyRegistry) Watch(context.Context, int64, time.Duration) (chs []cardamompass.Change, next int64, err error) {
 	switch num := reg.calls.Add(1); num {
 	case 1:
-		return nil, 0, errors.New("away")
+		return nil, 0, errors.New("unavailable")
 	case 2:
 		return []cardamompass.Change{gone("i-1")}, 2, nil
 	default:
@@ -35,16 +35,16 @@
 	}
 }
 
-// emptiedRegistry is a store that answers after an outage that its history is lost, and lists slowly.
-type emptiedRegistry struct {
+// compactedRegistry is a store that discarded its history during an outage and answers listings slowly.
+type compactedRegistry struct {
 	cardamompass.Registry
 	lists, watches atomic.Int64
-	answered       atomic.Int64 // when the lost history was told, in nanoseconds
+	answered       atomic.Int64 // time of the answer that the history is lost, in nanoseconds since the Unix epoch
 }
 
 const slowListing = view.ReregisterTime - 300*time.Millisecond
 
-func (reg *emptiedRegistry) List(context.Context) (chs []cardamompass.Change, revision int64, err error) {
+func (reg *compactedRegistry) List(context.Context) (chs []cardamompass.Change, revision int64, err error) {
 	if reg.lists.Add(1) == 1 {
 		return []cardamompass.Change{instance("i-1"), instance("i-2")}, 1, nil
 	}
@@ -52,10 +52,10 @@
 	return []cardamompass.Change{instance("i-2")}, 2, nil
 }
 
-func (reg *emptiedRegistry) Watch(context.Context, int64, time.Duration) (chs []cardamompass.Change, next int64, err error) {
+func (reg *compactedRegistry) Watch(context.Context, int64, time.Duration) (chs []cardamompass.Change, next int64, err error) {
 	switch reg.watches.Add(1) {
 	case 1:
-		return nil, 0, errors.New("away")
+		return nil, 0, errors.New("unavailable")
 	case 2:
 		reg.answered.Store(time.Now().UnixNano())
 		return nil, 0, &cardamompass.HistoryLostError{}
@@ -67,21 +67,21 @@
 
 // Guards against counting the time for targets to register again from the end of a long listing instead of the store's first answer.
 func TestReturnCountsFromTheFirstAnswer(t *testing.T) {
-	reg := &emptiedRegistry{}
+	reg := &compactedRegistry{}
 	flw, stop := view.New(view.Config{
 		Registry: reg,
 		Clock:    cardamompass.SystemClock{},
 		Log:      zap.NewNop(),
 	})
 	defer stop()
-	within(t, changeBound, "listing", func() bool { return len(flw.View().Instances("svc")) == 2 })
-	within(t, changeBound, "answer", func() bool { return reg.answered.Load() > 0 })
+	waitFor(t, changeBound, "listing", func() bool { return len(flw.View().Instances("svc")) == 2 })
+	waitFor(t, changeBound, "answer", func() bool { return reg.answered.Load() > 0 })
 	left := time.Until(time.Unix(0, reg.answered.Load()).Add(view.ReregisterTime + time.Second/2))
-	within(t, left, "removal", func() bool { return len(flw.View().Instances("svc")) == 1 })
+	waitFor(t, left, "removal", func() bool { return len(flw.View().Instances("svc")) == 1 })
 }
 
-// Guards against a target that is kept as long as other changes arrive, although it did not register again after the store's return:
-// 'slow-vms-and-partial-store' on mbmu-rain broke DRAIN seven seconds later.
+// Guards against a target that is kept as long as other changes arrive, although it did not register again after the recovery of the
+// store. This broke DRAIN seven seconds later in 'slow-vms-and-partial-store' on mbmu-rain.
 func TestMissingInstanceGoesDespiteOtherChanges(t *testing.T) {
 	flw, stop := view.New(view.Config{
 		Registry: &busyRegistry{},
@@ -89,6 +89,6 @@
 		Log:      zap.NewNop(),
 	})
 	defer stop()
-	within(t, changeBound, "listing", func() bool { return len(flw.View().Instances("svc")) == 2 })
-	within(t, view.ReregisterTime+changeBound/2, "removal", func() bool { return len(flw.View().Instances("svc")) == 1 })
+	waitFor(t, changeBound, "listing", func() bool { return len(flw.View().Instances("svc")) == 2 })
+	waitFor(t, view.ReregisterTime+changeBound/2, "removal", func() bool { return len(flw.View().Instances("svc")) == 1 })
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,4 +1,4 @@
-// Package view holds what an entry VM knows of the fleet from the platform's store, and follows the store's changes.
+// Package view holds a snapshot of the fleet as recorded in the platform's store, and follows the store's changes.
 //
 // A View is an immutable snapshot: the routing table, the registered instances of targets, the evacuated failure domains, the
 // running VMs and the crashes of targets. A Follower lists the store, watches it and publishes a new View after each
@@ -14,41 +14,41 @@
 	"cardamompass"
 )
 
-// Outage describes the latest time in which the store could not be followed.
+// Outage describes the latest period in which the store did not answer.
 type Outage struct {
-	// Ended is when it could be followed again; zero while there was no outage or it lasts.
+	// Ended is the time of the store's first answer after the outage; zero during an outage and if there was none.
 	Ended time.Time
-	// Ongoing is set while the store can't be followed.
+	// Ongoing is set while the store does not answer.
 	Ongoing bool
 }
 
-// ReregisterTime is the time after the store's return within which targets register again whose entries lapsed while it was away. They do
-// so within two seconds; the return is noticed a little later than it happens.
+// ReregisterTime is the time after the detected recovery of the store within which targets whose entries lapsed during the outage
+// register again. They do so within two seconds of the recovery, which is detected a little later.
 const ReregisterTime = 1800 * time.Millisecond
 
 // View is a snapshot of the fleet.
 type View struct {
 	// Table is the routing table, nil until one is known.
 	Table *cardamompass.RoutingTable
-	// Revision is the store's revision up to which changes are contained.
+	// Revision is the store's revision up to which changes are applied.
 	Revision int64
 
-	instances map[cardamompass.InstanceID]cardamompass.Instance
-	missing   map[cardamompass.InstanceID]time.Time // kept only until then
-	evacuated map[cardamompass.FailureDomain]bool
-	vms       map[cardamompass.VMID]cardamompass.VM
-	crashes   map[cardamompass.Crash]bool
-	crashed   map[string]int // instances by fingerprint
-	services  map[cardamompass.ServiceName][]cardamompass.Instance
-	running   []cardamompass.VM // vms in the order of their ids
+	instances    map[cardamompass.InstanceID]cardamompass.Instance
+	missingUntil map[cardamompass.InstanceID]time.Time // instances without an entry, kept until this time
+	evacuated    map[cardamompass.FailureDomain]bool
+	vms          map[cardamompass.VMID]cardamompass.VM
+	crashes      map[cardamompass.Crash]bool
+	crashCounts  map[string]int // number of crashed instances by fingerprint
+	byService    map[cardamompass.ServiceName][]cardamompass.Instance
+	sortedVMs    []cardamompass.VM // vms sorted by id
 }
 
-// Empty returns a View of nothing.
+// Empty returns an empty View.
 func Empty() (vew *View) { return &View{} }
 
-// Instances returns the registered instances of a service in the order of their ids. Callers must not modify the result.
+// Instances returns the registered instances of a service, sorted by id. Callers must not modify the result.
 func (vew *View) Instances(svc cardamompass.ServiceName) (list []cardamompass.Instance) {
-	return vew.services[svc]
+	return vew.byService[svc]
 }
 
 // Instance returns the instance with an id.
@@ -62,11 +62,11 @@
 	return slices.Collect(maps.Values(vew.instances))
 }
 
-// Evacuated reports whether the targets of a failure domain are to get no requests.
+// Evacuated reports whether a failure domain is evacuated, so that its targets must get no requests.
 func (vew *View) Evacuated(dom cardamompass.FailureDomain) bool { return vew.evacuated[dom] }
 
-// VMs returns the running VMs in the order of their ids. Callers must not modify the result.
-func (vew *View) VMs() (list []cardamompass.VM) { return vew.running }
+// VMs returns the running VMs, sorted by id. Callers must not modify the result.
+func (vew *View) VMs() (list []cardamompass.VM) { return vew.sortedVMs }
 
 // VM returns the entry of a running VM.
 func (vew *View) VM(id cardamompass.VMID) (vmc cardamompass.VM, ok bool) {
@@ -75,9 +75,9 @@
 }
 
 // Crashes returns the number of instances that crashed while a request with this fingerprint was in flight there.
-func (vew *View) Crashes(fingerprint string) (count int) { return vew.crashed[fingerprint] }
+func (vew *View) Crashes(fingerprint string) (count int) { return vew.crashCounts[fingerprint] }
 
-// WithChanges returns the view after changes, in their order. now is the time at which they were learned.
+// WithChanges returns the view after changes, applied in order. now is the time at which they were received.
 func (vew *View) WithChanges(chs []cardamompass.Change, revision int64, out Outage, now time.Time) (next *View) {
 	next = vew.clone()
 	next.Revision = revision
@@ -88,7 +88,8 @@
 	return next
 }
 
-// WithListing returns the view after a listing of everything. What it does not contain is gone.
+// WithListing returns the view after a full listing of the store. Entries that the listing does not contain are removed, except
+// the routing table.
 func (vew *View) WithListing(chs []cardamompass.Change, revision int64, out Outage, now time.Time) (next *View) {
 	next = vew.clone()
 	next.Revision = revision
@@ -113,7 +114,7 @@
 
 // WithoutMissing returns the view without the instances that did not register again in time.
 func (vew *View) WithoutMissing(now time.Time) (next *View, gone []cardamompass.InstanceID) {
-	for id, until := range vew.missing {
+	for id, until := range vew.missingUntil {
 		if now.After(until) {
 			gone = append(gone, id)
 		}
@@ -124,7 +125,7 @@
 	next = vew.clone()
 	for _, id := range gone {
 		delete(next.instances, id)
-		delete(next.missing, id)
+		delete(next.missingUntil, id)
 	}
 	next.index()
 	return next, gone
@@ -132,17 +133,17 @@
 
 func (vew *View) clone() (next *View) {
 	next = &View{
-		Table:     vew.Table,
-		Revision:  vew.Revision,
-		instances: maps.Clone(vew.instances),
-		missing:   maps.Clone(vew.missing),
-		evacuated: maps.Clone(vew.evacuated),
-		vms:       maps.Clone(vew.vms),
-		crashes:   maps.Clone(vew.crashes),
+		Table:        vew.Table,
+		Revision:     vew.Revision,
+		instances:    maps.Clone(vew.instances),
+		missingUntil: maps.Clone(vew.missingUntil),
+		evacuated:    maps.Clone(vew.evacuated),
+		vms:          maps.Clone(vew.vms),
+		crashes:      maps.Clone(vew.crashes),
 	}
 	if next.instances == nil {
 		next.instances = make(map[cardamompass.InstanceID]cardamompass.Instance)
-		next.missing = make(map[cardamompass.InstanceID]time.Time)
+		next.missingUntil = make(map[cardamompass.InstanceID]time.Time)
 		next.evacuated = make(map[cardamompass.FailureDomain]bool)
 		next.vms = make(map[cardamompass.VMID]cardamompass.VM)
 		next.crashes = make(map[cardamompass.Crash]bool)
@@ -158,10 +159,10 @@
 		}
 	case chg.Instance != nil:
 		vew.instances[chg.Instance.ID] = *chg.Instance
-		delete(vew.missing, chg.Instance.ID)
+		delete(vew.missingUntil, chg.Instance.ID)
 	case chg.InstanceRemoved != "" && chg.Rejected != nil:
 		delete(vew.instances, chg.InstanceRemoved)
-		delete(vew.missing, chg.InstanceRemoved)
+		delete(vew.missingUntil, chg.InstanceRemoved)
 	case chg.InstanceRemoved != "":
 		vew.removeInstance(chg.InstanceRemoved, out, now)
 	case chg.Evacuated != "":
@@ -179,40 +180,41 @@
 	}
 }
 
-// removeInstance removes an instance, or keeps it for a while when its entry may only have lapsed with the store.
+// removeInstance removes an instance, or keeps it until it has had time to register again if its entry may have lapsed only because
+// of an outage of the store.
 func (vew *View) removeInstance(id cardamompass.InstanceID, out Outage, now time.Time) {
 	ins, known := vew.instances[id]
 	if !known {
 		return
 	}
-	returning := out.Ongoing || (!out.Ended.IsZero() && now.Before(out.Ended.Add(ReregisterTime)))
-	if ins.Leaving || !returning {
+	mayReregister := out.Ongoing || (!out.Ended.IsZero() && now.Before(out.Ended.Add(ReregisterTime)))
+	if ins.Leaving || !mayReregister {
 		delete(vew.instances, id)
-		delete(vew.missing, id)
+		delete(vew.missingUntil, id)
 		return
 	}
-	if _, already := vew.missing[id]; !already {
+	if _, already := vew.missingUntil[id]; !already {
 		until := now.Add(ReregisterTime)
 		if !out.Ongoing {
 			until = out.Ended.Add(ReregisterTime)
 		}
-		vew.missing[id] = until
+		vew.missingUntil[id] = until
 	}
 }
 
 func (vew *View) index() {
-	vew.services = make(map[cardamompass.ServiceName][]cardamompass.Instance)
+	vew.byService = make(map[cardamompass.ServiceName][]cardamompass.Instance)
 	for _, ins := range vew.instances {
-		vew.services[ins.Service] = append(vew.services[ins.Service], ins)
+		vew.byService[ins.Service] = append(vew.byService[ins.Service], ins)
 	}
-	vew.running = slices.SortedFunc(maps.Values(vew.vms), func(one, two cardamompass.VM) int {
+	vew.sortedVMs = slices.SortedFunc(maps.Values(vew.vms), func(one, two cardamompass.VM) int {
 		return strings.Compare(string(one.ID), string(two.ID))
 	})
-	vew.crashed = make(map[string]int)
+	vew.crashCounts = make(map[string]int)
 	for crs := range vew.crashes {
-		vew.crashed[crs.Fingerprint]++
+		vew.crashCounts[crs.Fingerprint]++
 	}
-	for _, list := range vew.services {
+	for _, list := range vew.byService {
 		slices.SortFunc(list, func(one, two cardamompass.Instance) int {
 			return strings.Compare(string(one.ID), string(two.ID))
 		})
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against a VM that goes back to an older routing table, from a late event or a listing.
+// Guards against a VM that reverts to an older routing table, from a delayed change or a listing.
 func TestTableNeverGoesBack(t *testing.T) {
 	vew := view.Empty().WithListing([]cardamompass.Change{table(7)}, 5, view.Outage{}, start)
 	vew = vew.WithChanges([]cardamompass.Change{table(3)}, 6, view.Outage{}, start)
@@ -45,7 +45,8 @@
 	}
 }
 
-// Guards against losing all targets when their entries lapse with the store, and against keeping targets that are gone.
+// Guards against the loss of all targets when their entries lapse during an outage of the store, and against keeping targets that
+// have gone.
 func TestInstancesThatDisappear(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -53,13 +54,13 @@
 		now     time.Time
 		leaving bool
 		usable  bool
-		purged  bool // two seconds after the store's return
+		purged  bool // ReregisterTime after the removal
 	}{
-		{"store in order", view.Outage{}, start, false, false, true},
-		{"store away", view.Outage{Ongoing: true}, start, false, true, true},
-		{"just after its return", view.Outage{Ended: start.Add(-time.Second)}, start, false, true, true},
-		{"long after its return", view.Outage{Ended: start.Add(-5 * time.Second)}, start, false, false, true},
-		{"a leaving one while the store is away", view.Outage{Ongoing: true}, start, true, false, true},
+		{"store available", view.Outage{}, start, false, false, true},
+		{"during an outage", view.Outage{Ongoing: true}, start, false, true, true},
+		{"just after an outage", view.Outage{Ended: start.Add(-time.Second)}, start, false, true, true},
+		{"long after an outage", view.Outage{Ended: start.Add(-5 * time.Second)}, start, false, false, true},
+		{"leaving, during an outage", view.Outage{Ongoing: true}, start, true, false, true},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
@@ -78,13 +79,13 @@
 	}
 }
 
-// Guards against dropping a target that registered again in time.
+// Guards against removing a target that registered again in time.
 func TestInstanceReturns(t *testing.T) {
-	away := view.Outage{
+	outage := view.Outage{
 		Ongoing: true,
 	}
 	vew := view.Empty().WithChanges([]cardamompass.Change{instance("i-1")}, 1, view.Outage{}, start)
-	vew = vew.WithListing(nil, 2, away, start)
+	vew = vew.WithListing(nil, 2, outage, start)
 	vew = vew.WithChanges([]cardamompass.Change{instance("i-1")}, 3, view.Outage{Ended: start}, start)
 	vew, lost := vew.WithoutMissing(start.Add(time.Minute))
 	if len(lost) > 0 || len(vew.Instances("svc")) != 1 {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Guards against a target that stays in use after its entry was overwritten by something that can't be read.
+// Guards against a target that stays in use after its entry was overwritten by content that can't be parsed.
 func TestRejectedEntryRemovesInstance(t *testing.T) {
 	vew := view.Empty().WithChanges([]cardamompass.Change{instance("i-1"), {
 		InstanceRemoved: "i-1",
@@ -103,7 +104,7 @@
 	}
 }
 
-// Guards against evacuations and VMs that a listing no longer contains but that stay in force.
+// Guards against evacuations, VMs and crashes that stay in force although a listing no longer contains them.
 func TestListingReplaces(t *testing.T) {
 	vew := view.Empty().WithChanges([]cardamompass.Change{
 		{Evacuated: "z-1"},
@@ -116,7 +117,7 @@
 	old := vew
 	vew = vew.WithListing(nil, 2, view.Outage{}, start)
 	if vew.Evacuated("z-1") || len(vew.VMs()) != 0 || vew.Crashes("c-1") != 0 {
-		t.Fatal("a listing kept what it did not contain")
+		t.Fatal("entries that the listing does not contain were kept")
 	}
 	if !old.Evacuated("z-1") {
 		t.Fatal("a new view changed the old one")
