--- a/catalogue.go
+++ b/catalogue.go
@@ -9,38 +9,39 @@
 type RegionInfo struct {
 	Name           Region
 	FailureDomains []FailureDomain
-	// FallbackRegions lists the other regions that may serve this region's callers, the preferred one first.
+	// FallbackRegions lists the other regions that may serve this region's callers, in order of preference.
 	FallbackRegions []Region
 }
 
-// ClientBlocks assigns blocks of client addresses to a region.
+// ClientBlocks assigns CIDR blocks of client addresses to a region.
 type ClientBlocks struct {
 	Region   Region
 	Prefixes []netip.Prefix
 }
 
-// Class is the class of a service. Each class has queues, connections, slots and link shares of its own, so that short
+// Class is the class of a service. Each class has its own queues, connections, slots and link shares, so that short
 // requests do not wait behind long ones.
 type Class string
 
 const (
 	// ClassShort is for requests that take milliseconds.
 	ClassShort Class = "short"
-	// ClassLong is for downloads and other requests that take many times longer.
+	// ClassLong is for downloads and other long-running requests.
 	ClassLong Class = "long"
 )
 
-// Service is a service that callers use.
+// Service is a service of the catalogue.
 type Service struct {
 	Name  ServiceName
 	Class Class
-	// AlwaysIdempotent is set when every request of the service may run more than once, whatever the caller declares.
+	// AlwaysIdempotent is set when every request of the service may run more than once, regardless of what the caller
+	// declares.
 	AlwaysIdempotent bool
-	// MaxTimeout bounds the time that a caller may ask for.
+	// MaxTimeout is the longest timeout that a caller may request.
 	MaxTimeout time.Duration
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
-	// QueueLength bounds the requests of the service that wait at one entry VM.
+	// QueueLength is the maximum number of requests of the service that wait at one entry VM.
 	QueueLength int
 }
 
@@ -50,25 +51,25 @@
 	Service       ServiceName
 	Region        Region
 	FailureDomain FailureDomain
-	// Address is host:port by IP number.
+	// Address is host:port with an IP address as the host.
 	Address string
-	// Slots is the number of requests that it runs at the same time.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// Connections is the number of connections that it accepts from all entry VMs together.
+	// Connections is the number of connections that the target accepts from all entry VMs together.
 	Connections int
 }
 
-// Link is the connection from one region to another, in one direction.
+// Link is the network link from one region to another, in one direction.
 type Link struct {
 	From Region
 	To   Region
-	// KbitPerSecond is its cap, shared by all traffic of the system.
+	// KbitPerSecond is the bandwidth limit for all traffic of the system over the link.
 	KbitPerSecond int64
-	// LongPercent is the part of the cap that long requests may use, from 1 to 99.
+	// LongPercent is the percentage of the limit that long requests may use, from 1 to 99.
 	LongPercent int
 }
 
-// ShiftLimit is the cap on requests of callers of one region that targets of another region serve.
+// ShiftLimit limits the requests from callers of one region that targets of another region serve.
 type ShiftLimit struct {
 	Service           ServiceName
 	From              Region
--- a/clock.go
+++ b/clock.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Clock tells the time and makes timers. Tests replace it, so that no verdict depends on a sleep.
+// Clock returns the current time and creates timers. Tests replace it, so that no result depends on real time.
 // Implementations are safe for concurrent use.
 type Clock interface {
-	// Now returns the current time with a monotonic reading where the platform has one.
+	// Now returns the current time, with a monotonic clock reading where the platform has one.
 	Now() time.Time
 	// NewTimer returns a timer that fires once after d.
 	NewTimer(d time.Duration) Timer
@@ -16,13 +16,13 @@
 
 // Timer is a one-shot timer of a Clock.
 type Timer interface {
-	// C returns the channel on which the time is delivered.
+	// C returns the channel on which the time is delivered when the timer fires.
 	C() <-chan time.Time
 	// Stop prevents the timer from firing and reports whether it was still pending.
 	Stop() bool
 }
 
-// Sleep waits for d on a clock or for the end of ctx, whichever comes first, and returns the error of ctx in the second case.
+// Sleep pauses for d on clk. It returns early with ctx.Err() if ctx is done first.
 func Sleep(ctx context.Context, clk Clock, d time.Duration) (err error) {
 	tmr := clk.NewTimer(d)
 	defer tmr.Stop()
@@ -34,7 +34,7 @@
 	}
 }
 
-// SystemClock is the Clock of the operating system.
+// SystemClock is a Clock that uses the time package.
 type SystemClock struct{}
 
 var _ Clock = SystemClock{}
--- a/protocol.go
+++ b/protocol.go
@@ -6,52 +6,55 @@
 	"time"
 )
 
-// RequestInfo is what the headers of a caller's request say.
+// RequestInfo is the information in the headers of a caller's request.
 type RequestInfo struct {
-	// ID identifies one sending of a request by a caller.
+	// ID identifies one attempt of a caller to send a request.
 	ID RequestID
-	// Timeout is how long the caller waits; 0 if it did not say.
+	// Timeout is how long the caller waits for the response; 0 if not specified.
 	Timeout time.Duration
-	// AffinityKey names what the request is about; empty if it did not say. Targets are faster on objects they have handled before.
+	// AffinityKey identifies the object that the request refers to; empty if not specified. A target serves requests faster
+	// for objects that it has handled before.
 	AffinityKey string
 }
 
-// ResponseInfo is what the status and the headers of a target's answer say.
+// ResponseInfo is the information in the status and headers of a target's response.
 type ResponseInfo struct {
-	// ID is the request that is answered; empty if the answer does not say.
+	// ID is the id of the request to which the response belongs; empty if not specified.
 	ID RequestID
-	// Signed is set when the answer carries the target's signature.
+	// Signed is set when the response carries the target's signature.
 	Signed bool
-	// NotRun is set when the target says that it has not run the request and never will.
+	// NotRun is set when the target reports that it has not run the request and will not run it.
 	NotRun bool
-	// OtherInstance is set when another instance than the one that was meant has the address.
+	// OtherInstance is set when the address belongs to an instance other than the expected one.
 	OtherInstance bool
-	// Transformed is set when the body is not the target's own, such as a compressed one.
+	// Transformed is set when the body is not the one that the target produced, for example because it was compressed.
 	Transformed bool
-	// Load is the target's load; nil if it did not say.
+	// Load is the target's load; nil if not reported.
 	Load *Load
 }
 
-// Lookup is a caller's question which entry VMs to use.
+// Lookup is a caller's query for the entry VMs to use.
 type Lookup struct {
 	Name          string
 	Region        Region
 	FailureDomain FailureDomain
 }
 
-// Protocol is the vocabulary of callers and targets on HTTP. Implementations are safe for concurrent use.
+// Protocol reads and writes the HTTP headers, paths and bodies used by callers and targets. Implementations are safe for
+// concurrent use.
 type Protocol interface {
 	// ParseRequest reads the headers of a caller's request.
-	ParseRequest(hdr http.Header) (inc RequestInfo)
-	// SetRequestHeaders sets the headers of a request to an instance that has left for its answer. hdr holds what the caller sent.
+	ParseRequest(hdr http.Header) (inf RequestInfo)
+	// SetRequestHeaders sets the headers of a request to instance ins, which has the time left to respond. hdr holds the
+	// headers that the caller sent.
 	SetRequestHeaders(hdr http.Header, ins InstanceID, left time.Duration)
-	// ParseResponse reads the status and headers of a target's answer.
-	ParseResponse(status int, hdr http.Header) (std ResponseInfo)
-	// ReadyPath is the path of the check whether the VM serves, LookupPath that of look-ups.
+	// ParseResponse reads the status and headers of a target's response.
+	ParseResponse(status int, hdr http.Header) (inf ResponseInfo)
+	// ReadyPath returns the path of the readiness check, LookupPath that of look-ups.
 	ReadyPath() string
 	LookupPath() string
-	// ParseLookup reads a look-up.
+	// ParseLookup reads the query parameters of a look-up.
 	ParseLookup(query url.Values) (lkp Lookup)
-	// EncodeLookupResponse encodes the answer to a look-up, which a caller may keep for ttl.
+	// EncodeLookupResponse encodes the response to a look-up, which a caller may cache for ttl.
 	EncodeLookupResponse(addresses []string, ttl time.Duration) (body []byte, err error)
 }
--- a/request.go
+++ b/request.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// Header names of the interfaces towards callers and targets.
+// Names of the HTTP headers exchanged with callers and targets.
 const (
-	// HeaderRequestID carries the caller's request id; towards targets, the id of the attempt, which they echo.
+	// HeaderRequestID carries the caller's request id. In requests to targets it is the id of the attempt, which the
+	// target echoes.
 	HeaderRequestID = "Cardamompass-Request-Id"
-	// HeaderTimeout carries the time that is left for the answer, in whole milliseconds.
+	// HeaderTimeout carries the time that remains for the response, in whole milliseconds.
 	HeaderTimeout = "Cardamompass-Timeout-Ms"
-	// HeaderIdempotent is "true" for a request that may run more than once, "false" for one that may not.
+	// HeaderIdempotent is "true" for a request that may run more than once and "false" for one that must not.
 	HeaderIdempotent = "Cardamompass-Idempotent"
 	// HeaderTicket carries the ticket of a non-idempotent request.
 	HeaderTicket = "Cardamompass-Ticket"
-	// HeaderAttempt counts the caller's sendings of one request from 1.
+	// HeaderAttempt is the number of the caller's attempt to send the request, starting at 1.
 	HeaderAttempt = "Cardamompass-Attempt"
-	// HeaderCallerRegion names the region of the caller where its address does not tell.
+	// HeaderCallerRegion is the caller's region, for callers whose address does not determine it.
 	HeaderCallerRegion = "Cardamompass-Caller-Region"
-	// HeaderOutcome tells the caller the Outcome.
+	// HeaderOutcome is the Outcome, in responses to callers.
 	HeaderOutcome = "Cardamompass-Outcome"
-	// HeaderShed is "true" on a target's 503 answer when the target did not run the request.
+	// HeaderShed is "true" in a target's 503 response when the target did not run the request.
 	HeaderShed = "Cardamompass-Shed"
-	// HeaderState is "draining" on an answer of a target that leaves.
+	// HeaderState is "draining" in responses of a target that is leaving.
 	HeaderState = "Cardamompass-State"
 )
 
-// Outcome tells a caller what became of its request.
+// Outcome is the result of a request as reported to its caller.
 type Outcome string
 
 const (
-	// OutcomeAnswered marks the target's own answer.
+	// OutcomeAnswered marks a response that a target produced.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeNotRun marks a request that certainly did not run.
+	// OutcomeNotRun marks a request that is known not to have run.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown marks a request that may have run.
 	OutcomeUnknown Outcome = "unknown"
@@ -53,33 +54,33 @@
 	Header       http.Header // end-to-end headers only, without those of this package
 	Body         []byte
 	Idempotent   bool
-	Attempt      int    // counted by the caller from 1; 0 when it did not say
+	Attempt      int    // number of the caller's attempt, from 1; 0 if not specified
 	Ticket       string // empty for an idempotent request
 	CallerRegion Region
 	Deadline     time.Time
 }
 
-// WithAttempt returns a copy with the given attempt count.
+// WithAttempt returns a copy with the given attempt number.
 func (req Request) WithAttempt(attempt int) Request {
 	req.Attempt = attempt
 	return req
 }
 
-// Response is the answer of a target. The receiver must close Body.
+// Response is the response of a target. The receiver must close Body.
 type Response struct {
 	Status int
 	Header http.Header
-	// Body yields the whole body and io.EOF, or an error if the answer is cut.
+	// Body reads the whole body followed by io.EOF, or returns an error if the response is truncated.
 	Body io.ReadCloser
 	// Length is the length of the body in bytes, -1 if it is not known in advance.
 	Length int64
-	// Target produced the answer.
+	// Target is the target that produced the response.
 	Target TargetID
 }
 
-// NotRunError reports a request that certainly did not run.
+// NotRunError reports a request that is known not to have run.
 type NotRunError struct {
-	// Reason tells a caller or operator why, for example "no room in any region before the deadline".
+	// Reason explains to a caller or operator why, for example "no target with free capacity before the deadline".
 	Reason string
 	// Target is the target that shed the request, if one did.
 	Target TargetID
@@ -89,21 +90,21 @@
 
 // UnknownOutcomeError reports a request that may have run.
 type UnknownOutcomeError struct {
-	// Reason tells a caller or operator why.
+	// Reason explains to a caller or operator why the outcome is unknown.
 	Reason string
 	// Target is the target to which the request may have been sent, if known.
 	Target TargetID
-	// Broken is set when the connection broke before the answer, as it does when the target crashes.
+	// Broken is set when the connection was lost before the response, as happens when the target crashes.
 	Broken bool
 }
 
 func (err *UnknownOutcomeError) Error() string { return "outcome unknown: " + err.Reason }
 
-// InvalidError reports a request, setting or catalogue that is malformed or not allowed. Nothing was done.
+// InvalidError reports a request, setting or catalogue that is malformed or not allowed. It had no effect.
 type InvalidError struct {
-	// Field names what is wrong.
+	// Field is the name of the invalid field.
 	Field string
-	// Reason says why, and what would be right.
+	// Reason explains why the value is invalid and what is expected.
 	Reason string
 }
 
--- a/routing.go
+++ b/routing.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// InstanceID identifies one start of a target.
+// InstanceID identifies an instance, which is one start of a target.
 type InstanceID string
 
-// RoutingTable is one version of what operators say about routes and services. It is immutable.
+// RoutingTable is one version of the operators' configuration of routes and services. It is immutable.
 type RoutingTable struct {
-	// Version orders the tables. A greater version is newer.
+	// Version orders the tables; a newer table has a greater version.
 	Version uint64
 	// Routes are all routes, in no particular order.
 	Routes []Route
-	// Services are the services by name.
+	// Services maps service names to their policies.
 	Services map[ServiceName]ServicePolicy
-	// Limits bound what a caller may send.
+	// Limits bounds what callers may send.
 	Limits CallerLimits
 }
 
-// Route says how requests of one host and path prefix are served.
+// Route configures how requests for one host and path prefix are served.
 type Route struct {
 	// Name identifies the route.
 	Name string
@@ -30,39 +30,39 @@
 	Prefix string
 	// Idempotent is set when a request may run more than once.
 	Idempotent bool
-	// Timeout is the longest time for which a caller may be kept waiting.
+	// Timeout is the longest time for which a caller waits for a response.
 	Timeout time.Duration
-	// LatencyObjective is the time within which an answer has its full value.
+	// LatencyObjective is the time within which a response has its full value to the caller.
 	LatencyObjective time.Duration
-	// Priority is the rank of the route, 0 the highest.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
-	// WeightedServices are the services that share the requests, at least one.
+	// WeightedServices are the services among which the requests are split, at least one.
 	WeightedServices []WeightedService
 	// MaxTargets bounds the targets to which one request may be sent, at least 1.
 	MaxTargets int
-	// Sticky is set when a target that has handled an object serves it faster.
+	// Sticky is set when requests with the same affinity key are served faster by the same target.
 	Sticky bool
-	// HomeRegions are the only regions that may serve the route; empty for all.
+	// HomeRegions are the regions that may serve the route; empty if all may.
 	HomeRegions []Region
 }
 
-// WeightedService is one service of a route.
+// WeightedService is a service of a route with its share of the requests.
 type WeightedService struct {
 	Service ServiceName
-	// Weight is its share of the requests relative to the other parts, more than 0.
+	// Weight is the share of the requests relative to the other services of the route, more than 0.
 	Weight float64
 }
 
-// ServicePolicy is what operators say about the targets of a service.
+// ServicePolicy is the operators' configuration of the targets of a service.
 type ServicePolicy struct {
 	Name ServiceName
 	// ColdFor is the time for which a target is cold after its start.
 	ColdFor time.Duration
-	// ColdRate is the number of requests a second that a cold target tolerates.
+	// ColdRate is the number of requests per second that a cold target can handle.
 	ColdRate float64
 }
 
-// CallerLimits bound what callers may send. Zero values mean no bound.
+// CallerLimits bounds what callers may send. A zero value means no bound.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -70,7 +70,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Match returns the route with the longest prefix for a host in lower case and a path.
+// Match returns the route with the longest prefix that matches host and path. The host must be in lower case.
 func (tbl *RoutingTable) Match(host, path string) (rte *Route, ok bool) {
 	for num := range tbl.Routes {
 		cnd := &tbl.Routes[num]
@@ -97,21 +97,21 @@
 	return false
 }
 
-// Instance is one start of a target as it registered itself.
+// Instance is one start of a target, as the target registered it.
 type Instance struct {
 	ID            InstanceID
 	Service       ServiceName
 	Region        Region
 	FailureDomain FailureDomain
-	// Address is host:port by IP number.
+	// Address is host:port with an IP address as the host.
 	Address string
-	// Slots is the number of requests that it runs at the same time.
+	// Slots is the number of requests that the instance runs concurrently.
 	Slots int
 	// Leaving is set while the instance prepares to stop.
 	Leaving bool
-	// ColdFor is how long the instance said that it stays cold, at the time of the registration.
+	// ColdFor is how long the instance stays cold, counted from its registration.
 	ColdFor time.Duration
-	// StartMillis is the time of its start in milliseconds since the Unix epoch, 0 if it did not say.
+	// StartMillis is the start time in milliseconds since the Unix epoch, 0 if not specified.
 	StartMillis int64
 }
 
@@ -120,13 +120,13 @@
 	return ins.ID == oth.ID && ins.StartMillis == oth.StartMillis && ins.Address == oth.Address && ins.Service == oth.Service
 }
 
-// Load is what an instance says of itself with an answer.
+// Load is the load of an instance, as reported in a response.
 type Load struct {
-	// Running and Waiting are the requests at the instance.
+	// Running and Waiting are the numbers of requests that run and wait at the instance.
 	Running int
 	Waiting int
-	// Slots is the number of requests that it runs at the same time.
+	// Slots is the number of requests that the instance runs concurrently.
 	Slots int
-	// Slowness is how long work takes at the moment relative to the usual time; 1 is usual.
+	// Slowness is the current time for a unit of work relative to the usual time; 1 is the usual speed.
 	Slowness float64
 }
--- a/store.go
+++ b/store.go
@@ -25,29 +25,29 @@
 	ID LeaseID
 	// TTL is the time for which a grant or a renewal keeps the lease alive.
 	TTL time.Duration
-	// Remaining is the time left by the store's clock when it answered. Zero when the lease has lapsed.
+	// Remaining is the time left on the store's clock when it responded. Zero when the lease has expired.
 	Remaining time.Duration
 }
 
-// Store is the platform's key-value service. Each call counts against the service's rates, a waiting watch as one.
-// Implementations are safe for concurrent use.
+// Store is the platform's key-value service. Each call counts against the service's rate limits; a watch counts as one
+// call, however long it waits. Implementations are safe for concurrent use.
 //
-// Errors: NotFoundError for a key or lease that does not exist, ConflictError for a compare-and-swap that lost,
-// WriteUnknownError for a write whose answer was lost and which may have taken effect. Any other error means that the
-// call had no effect.
+// Errors: NotFoundError for a key or lease that does not exist, ConflictError for a compare-and-swap that lost against
+// another write, WriteUnknownError for a write whose response was lost and which may have taken effect. Any other error
+// means that the call had no effect.
 type Store interface {
 	// Get returns the current value of key.
 	Get(ctx context.Context, key string) (val Value, err error)
-	// Put writes data if the key's revision equals revision; revision 0 means that the key must not exist.
+	// Put writes data if the key has the given revision; revision 0 means that the key must not exist.
 	Put(ctx context.Context, key string, data []byte, revision int64) (val Value, err error)
-	// Watch waits up to wait for a revision of key greater than after and returns it. It returns the current value
-	// unchanged when the time is over.
+	// Watch waits up to wait until the revision of key is greater than after and returns the value. If it is not greater
+	// by then, Watch returns the current value.
 	Watch(ctx context.Context, key string, after int64, wait time.Duration) (val Value, err error)
 	// Grant creates a lease.
 	Grant(ctx context.Context, ttl time.Duration) (lse Lease, err error)
-	// Renew extends a live lease by its TTL. A lapsed lease is not revived: NotFoundError.
+	// Renew extends a valid lease by its TTL. For an expired lease it returns a NotFoundError.
 	Renew(ctx context.Context, id LeaseID) (lse Lease, err error)
-	// Inspect returns the state of a lease. A lapsed lease is a NotFoundError.
+	// Inspect returns the state of a lease. For an expired lease it returns a NotFoundError.
 	Inspect(ctx context.Context, id LeaseID) (lse Lease, err error)
 	// Revoke ends a lease.
 	Revoke(ctx context.Context, id LeaseID) (err error)
@@ -55,7 +55,7 @@
 
 // NotFoundError reports a key or lease that does not exist.
 type NotFoundError struct {
-	// Key is the missing key or lease.
+	// Key is the key or the id of the lease.
 	Key string
 }
 
@@ -75,11 +75,12 @@
 	return fmt.Sprintf("%s: write expected revision %d, store has %d", err.Key, err.Want, err.Have)
 }
 
-// WriteUnknownError reports a write that was sent but whose answer was lost. It may have taken effect, now or later.
+// WriteUnknownError reports a write that was sent but whose response was lost. The write may have taken effect or may
+// still take effect.
 type WriteUnknownError struct {
 	// Key is the key of the write.
 	Key string
-	// Err is the failure that hid the answer.
+	// Err is the failure because of which no response was received.
 	Err error
 }
 
@@ -87,5 +88,5 @@
 	return fmt.Sprintf("%s: outcome of the write is unknown: %v", err.Key, err.Err)
 }
 
-// Unwrap returns the failure that hid the answer.
+// Unwrap returns Err.
 func (err *WriteUnknownError) Unwrap() error { return err.Err }
--- a/vm.go
+++ b/vm.go
@@ -7,18 +7,19 @@
 
 // VM describes one entry VM.
 type VM struct {
-	// ID names the VM.
+	// ID identifies the VM.
 	ID VMID
-	// Incarnation is the run of its process.
+	// Incarnation is the incarnation of its process.
 	Incarnation Incarnation
-	// Region and FailureDomain are its place.
+	// Region and FailureDomain are its location.
 	Region        Region
 	FailureDomain FailureDomain
-	// CallerAddress is the host:port, by IP number, at which callers reach it.
+	// CallerAddress is the host:port for callers, with an IP address as the host.
 	CallerAddress string
-	// PeerAddress is the host:port, by IP number, at which other entry VMs reach it.
+	// PeerAddress is the host:port for other entry VMs, with an IP address as the host.
 	PeerAddress string
-	// Capacity is the number of requests a second that it can carry, estimated from its processor and its link; 0 if it is not known.
+	// Capacity is the number of requests per second that it can handle, estimated from its processor and its link; 0 if
+	// unknown.
 	Capacity float64
 }
 
@@ -27,11 +28,11 @@
 
 // The member states in the order of their precedence at equal incarnation and refutation counter.
 const (
-	// StateAlive is a member that answers.
+	// StateAlive is a member that responds to probes.
 	StateAlive MemberState = iota
-	// StateSuspect is a member that missed a probe and may still refute the suspicion.
+	// StateSuspect is a member that did not respond to a probe and may still refute the suspicion.
 	StateSuspect
-	// StateLeaving is a member in a planned stop: it serves but look-ups do not name it.
+	// StateLeaving is a member in a planned stop: it serves requests but is not returned by look-ups.
 	StateLeaving
 	// StateDead is a member that did not refute a suspicion in time.
 	StateDead
@@ -57,15 +58,15 @@
 	}
 }
 
-// Member is one entry VM as the membership sees it.
+// Member is the membership's record of one entry VM.
 type Member struct {
 	// VM describes the member.
 	VM VM
 	// State is its state.
 	State MemberState
-	// Refutation counts how often the member refuted a suspicion in this incarnation.
+	// Refutation is the number of suspicions that the member refuted in this incarnation.
 	Refutation uint64
-	// Successor answers for the operations of a member that left; empty otherwise.
+	// Successor is the VM that took over the operation records of a member that left; empty otherwise.
 	Successor VMID
 }
 
@@ -75,7 +76,7 @@
 	return mbr
 }
 
-// WithSuccessor returns a copy whose operations are answered for by vid.
+// WithSuccessor returns a copy with successor vid.
 func (mbr Member) WithSuccessor(vid VMID) Member {
 	mbr.Successor = vid
 	return mbr
@@ -86,18 +87,18 @@
 	return mbr.State == StateAlive || mbr.State == StateSuspect || mbr.State == StateLeaving
 }
 
-// Membership is the view of the entry VMs that one entry VM has. Implementations are safe for concurrent use.
+// Membership is one entry VM's view of all entry VMs. Implementations are safe for concurrent use.
 type Membership interface {
 	// Self returns this VM's own record.
 	Self() Member
-	// Members returns all known members, this VM included, in the order of their ids.
+	// Members returns all known members, including this VM, sorted by id.
 	Members() []Member
 }
 
-// PeerCaller calls a method of another entry VM. Implementations are safe for concurrent use.
+// PeerCaller calls methods of other entry VMs. Implementations are safe for concurrent use.
 //
-// A PeerUnsentError means that no byte of the call left this process; any other error leaves open whether the
-// peer ran it, unless the peer itself answered with a typed error.
+// A PeerUnsentError means that no byte of the call was sent. After any other error it is unknown whether the peer ran
+// the call, unless the peer returned a typed error.
 type PeerCaller interface {
 	// Call calls method ("Service.Method") at address with a deadline taken from ctx.
 	Call(ctx context.Context, address, method string, args, reply any) (err error)
@@ -118,18 +119,18 @@
 // Unwrap returns the cause.
 func (err *PeerUnsentError) Unwrap() error { return err.Err }
 
-// ListedVM is one VM in the platform's list. The list covers entry VMs and the VMs of targets, and it lags.
+// ListedVM is one VM in the platform's list. The list contains entry VMs and the VMs of targets and may be out of date.
 type ListedVM struct {
 	// Name is the platform's name for the VM: the VMID of an entry VM or the TargetID of a target.
 	Name string
-	// Address is its IP number and port.
+	// Address is its host:port, with an IP address as the host.
 	Address string
 	// Leaving is set while a planned stop of the VM is under way.
 	Leaving bool
 }
 
-// VMLister reads the platform's list of live and leaving VMs.
+// VMLister reads the platform's list of running and leaving VMs.
 type VMLister interface {
-	// List returns the list and the age that the platform states for it.
+	// List returns the list and its age as reported by the platform.
 	List(ctx context.Context) (vms []ListedVM, age time.Duration, err error)
 }
--- a/vm_test.go
+++ b/vm_test.go
@@ -7,7 +7,7 @@
 	"cardamompass"
 )
 
-// Guards against a dead or departed member that still counts as a place to send requests.
+// Guards against sending requests to a member that is dead or has left.
 func TestMemberServing(t *testing.T) {
 	tests := []struct {
 		state cardamompass.MemberState
@@ -29,7 +29,8 @@
 	}
 }
 
-// Guards against a capacity that ignores the narrower of processor and link, or is made up where one of them is not known.
+// Guards against a capacity that is not limited by the slower of processor and link, and against a capacity computed
+// although one of them is unknown.
 func TestCapacity(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -37,10 +38,10 @@
 		bits  float64
 		want  float64
 	}{
-		{"narrow link", 0.8, 20e6, 20e6 / (8 * 16 << 10)},
-		{"small processor", 0.32, 1e9, 800},
-		{"no link known", 0.8, 0, 0},
-		{"no processor known", 0, 1e9, 0},
+		{"slow link", 0.8, 20e6, 20e6 / (8 * 16 << 10)},
+		{"slow processor", 0.32, 1e9, 800},
+		{"unknown link", 0.8, 0, 0},
+		{"unknown processor", 0, 1e9, 0},
 	}
 	for _, tst := range tests {
 		set := cardamompass.VMSettings{
@@ -48,7 +49,7 @@
 			LinkBitsPerSecond: tst.bits,
 		}
 		if got := set.Capacity(); math.Abs(got-tst.want) > 1e-6 {
-			t.Errorf("%s: %v requests a second, want %v", tst.name, got, tst.want)
+			t.Errorf("%s: %v requests per second, want %v", tst.name, got, tst.want)
 		}
 	}
 }
--- a/vmsettings.go
+++ b/vmsettings.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// VMSettings are the settings of an entry VM on the users' platform. It is immutable.
+// VMSettings are the settings of an entry VM on the platform. They are immutable.
 type VMSettings struct {
 	ID            VMID
 	FailureDomain FailureDomain
 	Region        Region
 	// Regions maps every failure domain to its region.
 	Regions map[FailureDomain]Region
-	// IP is the VM's own IP number.
+	// IP is the VM's IP address.
 	IP string
 	// CallerAddress, ReadyAddress and LookupAddress are the addresses on which the VM listens.
 	CallerAddress string
 	ReadyAddress  string
 	LookupAddress string
-	// PeerAddress is the address for datagrams between VMs.
+	// PeerAddress is the address for datagrams between entry VMs.
 	PeerAddress string
 	// StoreAddress is the address of the platform's store.
 	StoreAddress string
-	// MinLeaseTTL is the shortest time to live of a lease.
+	// MinLeaseTTL is the shortest TTL of a lease.
 	MinLeaseTTL time.Duration
 	// MemoryBytes is the memory limit of the process.
 	MemoryBytes int64
-	// Cores is the part of a processor core that the VM has, above 1 for several cores; 0 if it is not known.
+	// Cores is the number of processor cores that the VM may use, possibly a fraction; 0 if unknown.
 	Cores float64
-	// LinkBitsPerSecond is the bandwidth of the VM's link in bits a second, in each direction; 0 if it is not known.
+	// LinkBitsPerSecond is the bandwidth of the VM's link in each direction; 0 if unknown.
 	LinkBitsPerSecond float64
-	// GraceTime is the time between the request to stop and the kill.
+	// GraceTime is the time between the request to stop and the forced termination of the process.
 	GraceTime time.Duration
 	// RetryBudgetPercent and RetryBudgetSlack bound the retries and hedges of all VMs in RetryBudgetWindow: a percentage of the requests
 	// plus a number.
 	RetryBudgetPercent int
 	RetryBudgetSlack   int
 	RetryBudgetWindow  time.Duration
-	// ColdOverage and ColdSlack bound the requests a second to a cold target: its rate times the overage plus the slack.
+	// ColdOverage and ColdSlack bound the requests per second to a cold target: its rate times ColdOverage, plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// MaxLookupTTL is the longest time for which a caller uses an answer to a look-up.
+	// MaxLookupTTL is the longest time for which a caller may use the response to a look-up.
 	MaxLookupTTL time.Duration
-	// MaxRegionShift is the part of a region's requests that may change the serving region from one window of 2 s to the next.
+	// MaxRegionShift is the fraction of a region's requests that may change the serving region from one window of 2 s to the
+	// next.
 	MaxRegionShift float64
 }
 
 const (
-	// requestCPUSeconds is the processor time of a request in seconds, logs included, as BenchmarkRequest of front measures it.
+	// requestCPUSeconds is the processor time of a request in seconds, including its log lines; see BenchmarkRequest of
+	// package front.
 	requestCPUSeconds = 0.0004
-	// requestBits is the size of a request with its answer in each direction of the link, the mean of the users' kinds of requests.
+	// requestBits is the mean size in bits of a request and its response in each direction of the link.
 	requestBits = 8 * 16 << 10
 )
 
-// Capacity returns the number of requests a second that the VM can carry; 0 if it is not known.
+// Capacity returns the number of requests per second that the VM can handle; 0 if unknown.
 func (set *VMSettings) Capacity() (perSecond float64) {
 	if set.Cores <= 0 || set.LinkBitsPerSecond <= 0 {
 		return 0
