--- a/internal/fleet/member/agent.go
+++ b/internal/fleet/member/agent.go
@@ -12,16 +12,16 @@
 	"cardamompass"
 )
 
-// MaxPayloadBytes bounds the payload of one subsystem on one message. Longer ones are not sent.
+// MaxPayloadBytes bounds the payload of one subsystem in one message. A longer payload is not sent.
 const MaxPayloadBytes = 512
 
-// PayloadHandler is a subsystem whose payload travels on probes and their answers.
+// PayloadHandler produces and consumes the payload of a subsystem, which is piggybacked on probes and their replies.
 type PayloadHandler struct {
-	// Name identifies the subsystem at both ends.
+	// Name identifies the subsystem on the sending and the receiving VM.
 	Name string
-	// Produce returns the payload for a message that leaves now, nil for none. It must not block.
+	// Produce returns the payload for a message that is about to be sent, nil for none. It must not block.
 	Produce func() (data []byte)
-	// Consume receives the payload of another member's message. It must not block.
+	// Consume receives the payload of a message of another member. It must not block.
 	Consume func(from cardamompass.Member, data []byte)
 }
 
@@ -31,29 +31,29 @@
 	Machine MachineConfig
 	// Caller calls other VMs.
 	Caller cardamompass.PeerCaller
-	// Clock tells the time. Optional.
+	// Clock is the time source. Optional.
 	Clock cardamompass.Clock
-	// Logger receives changes of members. Optional.
+	// Logger logs changes of members. Optional.
 	Logger *zap.Logger
-	// PayloadHandlers are the subsystems whose payloads are carried. More can be added with Attach before Start.
+	// PayloadHandlers are the handlers of the subsystems. More can be added with Attach before Start.
 	PayloadHandlers []PayloadHandler
 }
 
-// Agent is this VM's part in the membership. It is safe for concurrent use.
+// Agent runs the membership protocol on one VM. It is safe for concurrent use.
 type Agent struct {
 	cfg Config
 
-	mut      sync.Mutex
-	mch      *Machine
-	subs     map[chan struct{}]struct{}
-	started  bool
-	closed   bool
-	carriers []PayloadHandler
+	mut             sync.Mutex
+	mch             *Machine
+	subs            map[chan struct{}]struct{}
+	started         bool
+	closed          bool
+	payloadHandlers []PayloadHandler
 
-	view       atomic.Pointer[[]cardamompass.Member]
+	members    atomic.Pointer[[]cardamompass.Member]
 	self       atomic.Pointer[cardamompass.Member]
 	superseded chan struct{}
-	wake       chan struct{}
+	wakeup     chan struct{}
 	end        chan struct{}
 	callCtx    func(timeout time.Duration) (ctx context.Context, cancel context.CancelFunc)
 	cancel     context.CancelFunc
@@ -62,8 +62,8 @@
 
 var _ cardamompass.Membership = (*Agent)(nil)
 
-// New returns an agent that answers other VMs but sends no probe before Start. The clean-up function ends running
-// probes and waits for them; it announces nothing (see Leave). Errors: InvalidError.
+// New returns an agent that replies to the probes of other VMs but sends no probes before Start. The stop function cancels
+// running probes and waits for them; it does not announce that this VM leaves (see Leave). Errors: InvalidError.
 func New(cfg Config) (agt *Agent, stop func(), err error) {
 	if cfg.Machine.Self.ID == "" || cfg.Machine.Self.PeerAddress == "" || cfg.Caller == nil {
 		return nil, nil, &cardamompass.InvalidError{
@@ -80,14 +80,14 @@
 	cfg.Machine.Start = cfg.Clock.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	agt = &Agent{
-		cfg:        cfg,
-		mch:        NewMachine(cfg.Machine),
-		subs:       map[chan struct{}]struct{}{},
-		carriers:   cfg.PayloadHandlers,
-		superseded: make(chan struct{}),
-		wake:       make(chan struct{}, 1),
-		end:        make(chan struct{}),
-		cancel:     cancel,
+		cfg:             cfg,
+		mch:             NewMachine(cfg.Machine),
+		subs:            map[chan struct{}]struct{}{},
+		payloadHandlers: cfg.PayloadHandlers,
+		superseded:      make(chan struct{}),
+		wakeup:          make(chan struct{}, 1),
+		end:             make(chan struct{}),
+		cancel:          cancel,
 	}
 	agt.callCtx = func(timeout time.Duration) (context.Context, context.CancelFunc) {
 		return context.WithTimeout(ctx, timeout)
@@ -96,14 +96,14 @@
 	return agt, agt.stop, nil
 }
 
-// Attach adds a subsystem whose payload is carried. Call it before Start.
+// Attach adds the payload handler of a subsystem. Call it before Start.
 func (agt *Agent) Attach(car PayloadHandler) {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
-	agt.carriers = append(agt.carriers[:len(agt.carriers):len(agt.carriers)], car)
+	agt.payloadHandlers = append(agt.payloadHandlers[:len(agt.payloadHandlers):len(agt.payloadHandlers)], car)
 }
 
-// Start begins to probe. Call it once.
+// Start starts probing. Call it once.
 func (agt *Agent) Start() {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
@@ -117,11 +117,11 @@
 // Self implements cardamompass.Membership.
 func (agt *Agent) Self() cardamompass.Member { return *agt.self.Load() }
 
-// Members implements cardamompass.Membership. Callers must not modify the slice. It costs no copy and never waits.
-func (agt *Agent) Members() []cardamompass.Member { return *agt.view.Load() }
+// Members implements cardamompass.Membership. It neither copies nor blocks. Callers must not modify the slice.
+func (agt *Agent) Members() []cardamompass.Member { return *agt.members.Load() }
 
-// Subscribe returns a channel that receives a value after members have changed; several changes may give one value.
-// Cancel ends the subscription.
+// Subscribe returns a channel that receives a value after members have changed; several changes may be combined into
+// one value. Cancel ends the subscription.
 func (agt *Agent) Subscribe() (changes <-chan struct{}, cancel func()) {
 	sub := make(chan struct{}, 1)
 	agt.mut.Lock()
@@ -134,29 +134,30 @@
 	}
 }
 
-// Superseded returns a channel that is closed when a later incarnation of this VM runs. The process should end then.
+// Superseded returns a channel that is closed when a later incarnation of this VM is found to run. The process should
+// then exit.
 func (agt *Agent) Superseded() <-chan struct{} { return agt.superseded }
 
-// ProbeListed probes the listed entry VMs that are not known to serve, a few for each call. It never removes a member.
-// The list must not contain VMs of targets.
+// ProbeListed probes the listed entry VMs that are not known to be serving, a few on each call. It never removes a
+// member. The list must not contain VMs of targets.
 func (agt *Agent) ProbeListed(vms []cardamompass.ListedVM) {
-	agt.start(agt.apply(VMsListed{
+	agt.startCalls(agt.apply(VMsListed{
 		Now: agt.cfg.Clock.Now(),
 		VMs: vms,
 	}))
 }
 
-// AnnounceLeaving tells the other members that a planned stop has begun.
+// AnnounceLeaving announces to the other members that a planned stop has begun.
 func (agt *Agent) AnnounceLeaving() {
-	agt.start(agt.apply(LeaveRequested{
+	agt.startCalls(agt.apply(LeaveRequested{
 		Now: agt.cfg.Clock.Now(),
 	}))
-	agt.rouse()
+	agt.wakeUp()
 }
 
-// Leave completes the planned stop: it announces that this VM left and that successor, which may be empty, answers
-// for its operations. It tells some members directly and returns when these calls have ended; an error means that none
-// of them answered. The agent still answers probes until the clean-up function is called.
+// Leave completes the planned stop: it announces that this VM left and that successor, which may be empty, took over its
+// operation records. It notifies some members directly and returns when these calls have ended; an error means that none
+// of them responded. The agent replies to probes until the stop function is called.
 func (agt *Agent) Leave(ctx context.Context, successor cardamompass.VMID) (err error) {
 	defer func() { err = errors.Wrap(err, "leave the membership") }()
 	agt.AnnounceLeaving()
@@ -166,22 +167,22 @@
 		Final:     true,
 	})
 	var (
-		wgr  sync.WaitGroup
-		told atomic.Int64
-		sent int
+		wgr      sync.WaitGroup
+		answered atomic.Int64
+		sent     int
 	)
 	for _, eff := range effects {
 		if png, ok := eff.(Ping); ok && png.Leave {
 			sent++
 			wgr.Go(func() {
 				if agt.ping(ctx, png) != nil {
-					told.Inc()
+					answered.Inc()
 				}
 			})
 		}
 	}
 	wgr.Wait()
-	if sent > 0 && told.Load() == 0 {
+	if sent > 0 && answered.Load() == 0 {
 		return errors.Errorf("none of %d members answered", sent)
 	}
 	return nil
@@ -198,9 +199,9 @@
 	agt.wgr.Wait()
 }
 
-func (agt *Agent) rouse() {
+func (agt *Agent) wakeUp() {
 	select {
-	case agt.wake <- struct{}{}:
+	case agt.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -212,7 +213,7 @@
 		agt.mut.Unlock()
 		now := agt.cfg.Clock.Now()
 		if !due.After(now) {
-			agt.start(agt.apply(Tick{
+			agt.startCalls(agt.apply(Tick{
 				Now: now,
 			}))
 			continue
@@ -220,7 +221,7 @@
 		tmr := agt.cfg.Clock.NewTimer(due.Sub(now))
 		select {
 		case <-tmr.C():
-		case <-agt.wake:
+		case <-agt.wakeup:
 			tmr.Stop()
 		case <-agt.end:
 			tmr.Stop()
@@ -229,7 +230,7 @@
 	}
 }
 
-// apply feeds one event to the machine and publishes the result.
+// apply applies one event to the machine and publishes the new state.
 func (agt *Agent) apply(evt Event) (effects []Effect) {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
@@ -249,7 +250,7 @@
 		agt.publish()
 	}
 	if agt.mch.Next().Before(due) {
-		agt.rouse()
+		agt.wakeUp()
 	}
 	return effects
 }
@@ -273,12 +274,12 @@
 	}
 }
 
-// publish stores the view for readers. The caller holds the lock or is the constructor.
+// publish stores the state for readers and notifies the subscribers. The caller holds agt.mut or is New.
 func (agt *Agent) publish() {
 	self := agt.mch.Self()
 	view := agt.mch.Members()
 	agt.self.Store(&self)
-	agt.view.Store(&view)
+	agt.members.Store(&view)
 	for sub := range agt.subs {
 		select {
 		case sub <- struct{}{}:
--- a/internal/fleet/member/calls.go
+++ b/internal/fleet/member/calls.go
@@ -4,40 +4,40 @@
 	"context"
 )
 
-// Service answers the probes of other VMs. Register it at the peer server under ServiceName.
+// Service handles the probes of other VMs. Register it at the peer server under ServiceName.
 type Service struct {
 	agt *Agent
 }
 
-// Service returns the receiver of the rpc methods.
+// Service returns the receiver of the RPC methods.
 func (agt *Agent) Service() *Service {
 	return &Service{
 		agt: agt,
 	}
 }
 
-// Ping answers a probe.
+// Ping handles a probe.
 func (svc *Service) Ping(args Message, reply *Message) (err error) {
 	agt := svc.agt
 	effects := agt.apply(PingReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Message: args,
 	})
-	// Payloads follow the records, so that a subsystem finds their sender among the members.
-	agt.consume(args)
+	// Payloads are delivered after the records, so that a subsystem finds the sender among the members.
+	agt.deliverPayloads(args)
 	*reply = agt.reply(effects)
-	agt.start(effects)
+	agt.startCalls(effects)
 	return nil
 }
 
-// PingReq probes the target of the request and tells whether it answered.
+// PingReq probes the target of the request and reports whether the target responded.
 func (svc *Service) PingReq(ctx context.Context, args RelayRequest, reply *RelayReply) (err error) {
 	agt := svc.agt
 	effects := agt.apply(RelayReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Request: args,
 	})
-	agt.consume(args.Message)
+	agt.deliverPayloads(args.Message)
 	var rest []Effect
 	for _, eff := range effects {
 		png, ok := eff.(Ping)
@@ -51,7 +51,7 @@
 		}
 	}
 	reply.Message = agt.reply(effects)
-	agt.start(rest)
+	agt.startCalls(rest)
 	return nil
 }
 
@@ -64,8 +64,8 @@
 	return msg
 }
 
-// start carries out the calls among the effects, each in a goroutine that the clean-up function waits for.
-func (agt *Agent) start(effects []Effect) {
+// startCalls executes the effects that are calls, each in a goroutine that the stop function waits for.
+func (agt *Agent) startCalls(effects []Effect) {
 	for _, eff := range effects {
 		switch eff := eff.(type) {
 		case Ping:
@@ -90,25 +90,25 @@
 	}
 }
 
-// ping sends a probe and feeds its result to the machine. The answer is nil when there was none.
+// ping sends a probe and applies its result to the machine. It returns nil if there was no reply.
 func (agt *Agent) ping(ctx context.Context, png Ping) (msg *Message) {
 	ctx, cancel := context.WithTimeout(ctx, png.Timeout)
 	defer cancel()
 	var reply Message
 	err := agt.cfg.Caller.Call(ctx, png.Address, methodPing, agt.withPayloads(png.Message), &reply)
 	if err != nil {
-		agt.start(agt.apply(ProbeFailed{
+		agt.startCalls(agt.apply(ProbeFailed{
 			Now:   agt.cfg.Clock.Now(),
 			Probe: png.Probe,
 		}))
 		return nil
 	}
-	agt.start(agt.apply(ProbeAnswered{
+	agt.startCalls(agt.apply(ProbeAnswered{
 		Now:     agt.cfg.Clock.Now(),
 		Probe:   png.Probe,
 		Message: reply,
 	}))
-	agt.consume(reply)
+	agt.deliverPayloads(reply)
 	return &reply
 }
 
@@ -121,7 +121,7 @@
 	err := agt.cfg.Caller.Call(ctx, req.Address, methodPingReq, args, &reply)
 	now := agt.cfg.Clock.Now()
 	if err != nil || !reply.Reached {
-		agt.start(agt.apply(ProbeFailed{
+		agt.startCalls(agt.apply(ProbeFailed{
 			Now:   now,
 			Probe: req.Probe,
 		}))
@@ -130,23 +130,23 @@
 	reply.Message.Updates = append(reply.Message.Updates, Update{
 		Member: reply.Target,
 	})
-	agt.start(agt.apply(ProbeAnswered{
+	agt.startCalls(agt.apply(ProbeAnswered{
 		Now:     now,
 		Probe:   req.Probe,
 		Message: reply.Message,
 	}))
-	agt.consume(reply.Message)
+	agt.deliverPayloads(reply.Message)
 }
 
-func (agt *Agent) attached() []PayloadHandler {
+func (agt *Agent) handlers() []PayloadHandler {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
-	return agt.carriers
+	return agt.payloadHandlers
 }
 
 func (agt *Agent) withPayloads(msg Message) Message {
 	msg.Payloads = nil
-	for _, car := range agt.attached() {
+	for _, car := range agt.handlers() {
 		data := car.Produce()
 		if len(data) == 0 || len(data) > MaxPayloadBytes {
 			continue
@@ -159,11 +159,11 @@
 	return msg
 }
 
-func (agt *Agent) consume(msg Message) {
+func (agt *Agent) deliverPayloads(msg Message) {
 	if len(msg.Payloads) == 0 || msg.From.VM.ID == "" || msg.From.VM.ID == agt.cfg.Machine.Self.ID {
 		return
 	}
-	for _, car := range agt.attached() {
+	for _, car := range agt.handlers() {
 		for _, pld := range msg.Payloads {
 			if pld.Name == car.Name {
 				car.Consume(msg.From, pld.Data)
--- a/internal/fleet/member/doc.go
+++ b/internal/fleet/member/doc.go
@@ -1,27 +1,28 @@
-// Package member keeps the membership of the entry VMs and detects failures.
+// Package member maintains the membership of the entry VMs and detects failures with a gossip protocol in the style of SWIM.
 //
-// Each VM probes one other member each ProbeInterval, in a shuffled order that visits every member once a round. A
-// member that does not answer is probed through other members, then suspected, then declared dead. News about members
-// travel on the probes and their answers, a bounded number in each message and a bounded number of times, so that the
-// cost for a VM does not depend on the size of the fleet.
+// Each VM probes one other member every ProbeInterval, in a shuffled order that includes every member once per round. A
+// member that does not respond is probed indirectly through other members, then suspected, then declared dead. Updates
+// about members are piggybacked on probes and their replies, a bounded number in each message and a bounded number of
+// times, so that the load on a VM does not depend on the size of the fleet.
 //
 // # Model
 //
 // Machine is a pure state machine: Apply takes an event, which carries the time, and returns effects. It does no I/O and
-// reads no clock. Agent is the driver: it turns messages and timers into events, carries out the effects, and
-// implements cardamompass.Membership.
+// reads no clock. Agent is the driver: it converts messages and timers to events, executes the effects, and implements
+// cardamompass.Membership.
 //
 // # Guarantees
 //
-//   - The records of one member are totally ordered (Supersedes), and a VM only replaces a record by a later one. Views
-//     that have received the same records are therefore equal, whatever the order of arrival.
-//   - Within an incarnation, a member leaves a later state for an earlier one only by its own refutation. StateLeft is
-//     final for the incarnation.
-//   - A member that answers probes of any member that others reach learns that it is suspected or held dead, and
-//     refutes it.
-//   - A record of a dead member or one that left is kept for Retention after its end, counted over all VMs.
-//   - The list of VMs of the platform only causes probes. It never removes a member.
+//   - The records of one member are totally ordered (Supersedes), and a VM replaces a record only by a later one. VMs
+//     that have received the same records therefore have equal views, regardless of the order of arrival.
+//   - Within an incarnation, a member returns from a later state to an earlier one only by its own refutation. StateLeft
+//     is final for the incarnation.
+//   - A member that responds to the probes of any member that the others can reach is informed that it is suspected or
+//     declared dead, and refutes that.
+//   - The record of a member that died or left is kept for Retention after that event. Records carry their age, so that
+//     passing them on does not prolong this time.
+//   - The platform's list of VMs only triggers probes. It never removes a member.
 //
-// Views that differ for long, or with nothing left to send, are found by a digest on each probe and repaired by a full
-// exchange.
+// Each probe carries a digest of the sender's view. Views that differ for a long time, or while no updates are queued,
+// are reconciled by a full exchange.
 package member
--- a/internal/fleet/member/event.go
+++ b/internal/fleet/member/event.go
@@ -9,13 +9,13 @@
 // Event is an input of Machine.Apply.
 type Event interface{ at() time.Time }
 
-// Tick tells that time has passed. The driver sends it at the time that Machine.Next returned.
+// Tick reports that time has passed. The driver applies it at the time that Machine.Next returned.
 type Tick struct {
 	// Now is the current time.
 	Now time.Time
 }
 
-// PingReceived is a probe from another VM. It has a Reply effect.
+// PingReceived is a probe from another VM. It causes a Reply effect.
 type PingReceived struct {
 	// Now is the current time.
 	Now time.Time
@@ -23,7 +23,7 @@
 	Message Message
 }
 
-// RelayReceived is the request of another VM to probe a target. It has a Reply effect and a Ping effect with Relay set.
+// RelayReceived is the request of another VM to probe a target. It causes a Reply effect and a Ping effect with Relay set.
 type RelayReceived struct {
 	// Now is the current time.
 	Now time.Time
@@ -31,21 +31,21 @@
 	Request RelayRequest
 }
 
-// ProbeAnswered is the answer to a Ping, or to a PingReq whose target was reached.
+// ProbeAnswered is the reply to a Ping, or to a PingReq whose target was reached.
 type ProbeAnswered struct {
 	// Now is the current time.
 	Now time.Time
-	// Probe is the number in the effect.
+	// Probe is the number of the probe in the effect.
 	Probe uint64
-	// Message is the answer.
+	// Message is the reply.
 	Message Message
 }
 
-// ProbeFailed is the end of a Ping or PingReq without an answer of the target.
+// ProbeFailed is the end of a Ping or PingReq without a reply of the target.
 type ProbeFailed struct {
 	// Now is the current time.
 	Now time.Time
-	// Probe is the number in the effect.
+	// Probe is the number of the probe in the effect.
 	Probe uint64
 }
 
@@ -57,11 +57,11 @@
 	VMs []cardamompass.ListedVM
 }
 
-// LeaveRequested starts or completes the planned stop of this VM.
+// LeaveRequested begins or completes the planned stop of this VM.
 type LeaveRequested struct {
 	// Now is the current time.
 	Now time.Time
-	// Successor answers for this VM's operations; empty while unknown.
+	// Successor is the VM that takes over this VM's operation records; empty while unknown.
 	Successor cardamompass.VMID
 	// Final is set when the stop is complete.
 	Final bool
@@ -78,9 +78,9 @@
 // Effect is an output of Machine.Apply.
 type Effect interface{ effect() }
 
-// Ping asks the driver to send a probe and to report Answered or Missed.
+// Ping requests the driver to send a probe and to report ProbeAnswered or ProbeFailed.
 type Ping struct {
-	// Probe numbers the probe.
+	// Probe is the number of the probe.
 	Probe uint64
 	// Address is the peer address of the target.
 	Address string
@@ -88,17 +88,17 @@
 	Timeout time.Duration
 	// Message is the probe.
 	Message Message
-	// Relay is set when the probe serves a RelayArrived.
+	// Relay is set when the probe is sent on behalf of another VM because of RelayReceived.
 	Relay bool
 	// Leave is set when the probe announces that this VM left.
 	Leave bool
 }
 
-// PingReq asks the driver to have a target probed by another member and to report Answered or Missed.
+// PingReq requests the driver to let another member probe a target and to report ProbeAnswered or ProbeFailed.
 type PingReq struct {
-	// Probe numbers the probe.
+	// Probe is the number of the probe.
 	Probe uint64
-	// Address is the peer address of the member that shall probe.
+	// Address is the peer address of the member that probes the target.
 	Address string
 	// Timeout bounds the call.
 	Timeout time.Duration
@@ -106,21 +106,21 @@
 	Request RelayRequest
 }
 
-// Reply is the answer to the event's message.
+// Reply is the reply to the message of the event.
 type Reply struct {
-	// Message is the answer.
+	// Message is the reply.
 	Message Message
 }
 
-// Changed tells that the record of a member changed or was forgotten.
+// Changed reports that the record of a member changed or was removed.
 type Changed struct {
-	// Member is the new record; the last one if Forgotten is set.
+	// Member is the new record, or the last one if Forgotten is set.
 	Member cardamompass.Member
-	// Forgotten is set when the record was dropped after its retention.
+	// Forgotten is set when the record was removed after its retention time.
 	Forgotten bool
 }
 
-// Superseded tells that another process runs under this VM's id with a later incarnation.
+// Superseded reports that another process runs under this VM's id with a later incarnation.
 type Superseded struct {
 	// By is the record of the later incarnation.
 	By cardamompass.Member
--- a/internal/fleet/member/machine.go
+++ b/internal/fleet/member/machine.go
@@ -9,70 +9,71 @@
 	"cardamompass"
 )
 
-// Defaults of MachineConfig. Detection takes about half a probe interval, two timeouts and the suspicion: 4 s.
+// Defaults of MachineConfig. Detecting a failure takes about 4 s: half a probe interval, the ping and relay timeouts, and
+// the suspicion timeout.
 const (
-	// DefaultProbeInterval is the time between two probes of a VM.
+	// DefaultProbeInterval is the time between two probes by a VM.
 	DefaultProbeInterval = 500 * time.Millisecond
-	// DefaultPingTimeout is several round trips between the regions that are farthest apart, plus a new connection.
+	// DefaultPingTimeout allows for setting up a connection and several round trips between the regions farthest apart.
 	DefaultPingTimeout = 500 * time.Millisecond
-	// DefaultRelayTimeout covers the relay's own ping timeout and the way to the relay and back.
+	// DefaultRelayTimeout covers the relay's own ping timeout and the round trip to the relay.
 	DefaultRelayTimeout = 800 * time.Millisecond
-	// DefaultSuspicionTimeout is the time that a suspected member has for its refutation.
+	// DefaultSuspicionTimeout is the time within which a suspected member can refute the suspicion.
 	DefaultSuspicionTimeout = 2 * time.Second
 	// DefaultRetention exceeds the 10 minutes for which operation records are kept, because the successor of a member
-	// that left must be known as long.
+	// that left must be known for that time.
 	DefaultRetention = 15 * time.Minute
 )
 
 const (
-	// relays is the number of members that are asked to probe a member that did not answer.
-	relays = 3
-	// maxUpdates bounds the records on one message; with about 100 bytes each they fill less than one packet.
+	// relayCount is the number of members that are requested to probe a member that did not respond.
+	relayCount = 3
+	// maxUpdates bounds the records in one message; with about 100 bytes each they fit into one packet.
 	maxUpdates = 8
-	// transmitFactor times the logarithm of the fleet's size is the number of times that a record is passed on. With 3
-	// an epidemic reaches all members with a probability that leaves the rest to the digest.
+	// transmitFactor times the logarithm of the fleet size is the number of times that a record is sent. With a factor
+	// of 3, gossip reaches all members with high probability; comparing digests repairs the rest.
 	transmitFactor = 3
-	// deadInterval is the time between two probes of dead members, one member each.
-	deadInterval = 5 * time.Second
-	// seedInterval is the time between two probes of seeds that no serving member uses, one seed each. It joins the
-	// sides of a partition that lasted longer than the retention.
-	seedInterval = 15 * time.Second
-	// joinDelay and maxJoinDelay are the first and the longest delay between attempts to join.
-	joinDelay    = 500 * time.Millisecond
+	// deadProbeInterval is the time between two probes of dead members; each probe goes to one member.
+	deadProbeInterval = 5 * time.Second
+	// seedProbeInterval is the time between two probes of seed addresses that no serving member uses; each probe goes to
+	// one address. These probes rejoin the sides of a partition that lasted longer than the retention time.
+	seedProbeInterval = 15 * time.Second
+	// minJoinDelay and maxJoinDelay bound the exponential back-off between attempts to join.
+	minJoinDelay = 500 * time.Millisecond
 	maxJoinDelay = 10 * time.Second
-	// syncInterval is the least time between two full exchanges that this VM starts. A full exchange at 430 VMs is
-	// about 50 KB.
-	syncInterval = 10 * time.Second
-	// disagreement is the time without any peer of an equal view after which a full exchange is worthwhile although
-	// records are still queued. When a whole fleet starts, the queues take minutes to drain.
-	disagreement = 15 * time.Second
-	// sweepInterval is the time between two searches for records past their retention.
+	// minSyncInterval is the minimum time between two full exchanges that this VM starts. With 430 VMs, a full exchange
+	// transfers about 50 KB.
+	minSyncInterval = 10 * time.Second
+	// maxDisagreement is the time without an exchange with a peer of an equal view after which a full exchange is started
+	// although records are still queued. When a whole fleet starts, the queues take minutes to drain.
+	maxDisagreement = 15 * time.Second
+	// sweepInterval is the time between two removals of records whose retention time has passed.
 	sweepInterval = 5 * time.Second
-	// maxHints bounds the probes that one list causes.
-	maxHints = 4
-	// leaveProbes is the number of members that are told directly that this VM left.
-	leaveProbes = 8
+	// maxListProbes bounds the probes triggered by one list of VMs.
+	maxListProbes = 4
+	// leaveProbeCount is the number of members that are notified directly that this VM left.
+	leaveProbeCount = 8
 )
 
 // MachineConfig configures a Machine. Zero durations take the defaults of this package.
 type MachineConfig struct {
 	// Self describes this VM.
 	Self cardamompass.VM
-	// Seeds are peer addresses of VMs to join.
+	// Seeds are the peer addresses to contact when joining.
 	Seeds []string
-	// RandomSeed determines all random choices.
+	// RandomSeed is the seed of the random number generator.
 	RandomSeed int64
 	// Start is the time at which the machine starts.
 	Start time.Time
 	// ProbeInterval is the time between two probes.
 	ProbeInterval time.Duration
-	// PingTimeout bounds a probe.
+	// PingTimeout bounds a direct probe.
 	PingTimeout time.Duration
-	// RelayTimeout bounds a probe through another member.
+	// RelayTimeout bounds an indirect probe through another member.
 	RelayTimeout time.Duration
-	// SuspicionTimeout is the time between suspicion and death.
+	// SuspicionTimeout is the time after which a suspected member is declared dead.
 	SuspicionTimeout time.Duration
-	// Retention is the time for which ended members are kept.
+	// Retention is the time for which the records of members that died or left are kept.
 	Retention time.Duration
 }
 
@@ -91,13 +92,13 @@
 	return cfg
 }
 
-// record is what a VM knows about one member.
+// record is the state of another member at this VM.
 type record struct {
 	mbr cardamompass.Member
-	// since is the time of the last change of the record, for ended members the time of their end.
+	// since is the time of the last change of the record; for a member that died or left, the time of that event.
 	since time.Time
-	// deadline is the end of a suspicion, zero without one. A leaving member is suspected without a change of its state,
-	// because StateSuspect would hide that it leaves.
+	// deadline is the end of a suspicion, zero if there is none. A leaving member is suspected without a change of its
+	// state, because StateSuspect would hide that it is leaving.
 	deadline time.Time
 	probing  bool
 }
@@ -107,47 +108,47 @@
 	target  cardamompass.VMID
 	inc     cardamompass.Incarnation
 	pending int
-	// check is set for a probe whose failure leads to suspicion.
-	check    bool
+	// suspects is set if a failure of the probe leads to suspicion of the target.
+	suspects bool
 	indirect bool
 	join     bool
 }
 
-// queued is a record that is passed on.
-type queued struct {
+// queuedUpdate is a member whose record is to be sent, and the number of times that it was sent.
+type queuedUpdate struct {
 	vid  cardamompass.VMID
 	sent int
 }
 
-// Machine is the state machine of the membership. It is not safe for concurrent use.
+// Machine is the state machine of the membership protocol. It is not safe for concurrent use.
 type Machine struct {
-	cfg     MachineConfig
-	rng     *rand.Rand
-	self    cardamompass.Member
-	records map[cardamompass.VMID]*record
-	suspect map[cardamompass.VMID]*record
-	serving int // other members that serve
-	digest  uint64
-	ring    []cardamompass.VMID
-	ringPos int
-	queue   []queued
-	probes  map[uint64]*probe
-	lastID  uint64
-	hints   map[string]time.Time
+	cfg        MachineConfig
+	rng        *rand.Rand
+	self       cardamompass.Member
+	records    map[cardamompass.VMID]*record
+	suspects   map[cardamompass.VMID]*record
+	serving    int // number of other members that serve
+	digest     uint64
+	probeOrder []cardamompass.VMID
+	probePos   int
+	queue      []queuedUpdate
+	probes     map[uint64]*probe
+	lastID     uint64
+	listProbes map[string]time.Time
 
-	now       time.Time
-	lastTick  time.Time
-	nextProbe time.Time
-	nextDead  time.Time
-	nextSeed  time.Time
-	nextSync  time.Time
-	agreed    time.Time // the last exchange with a peer of an equal view
-	nextSweep time.Time
-	joinWait  time.Duration
-	effects   []Effect
+	now           time.Time
+	lastTick      time.Time
+	nextProbe     time.Time
+	nextDeadProbe time.Time
+	nextSeedProbe time.Time
+	nextSync      time.Time
+	lastAgreement time.Time // time of the last exchange with a peer of an equal view
+	nextSweep     time.Time
+	joinDelay     time.Duration
+	effects       []Effect
 }
 
-// NewMachine returns the machine of a VM that knows only itself.
+// NewMachine returns a machine without other members.
 func NewMachine(cfg MachineConfig) *Machine {
 	cfg = cfg.withDefaults()
 	mch := &Machine{
@@ -157,15 +158,15 @@
 			VM:    cfg.Self,
 			State: cardamompass.StateAlive,
 		},
-		records:   map[cardamompass.VMID]*record{},
-		suspect:   map[cardamompass.VMID]*record{},
-		probes:    map[uint64]*probe{},
-		hints:     map[string]time.Time{},
-		lastTick:  cfg.Start,
-		agreed:    cfg.Start,
-		nextProbe: cfg.Start,
-		nextSeed:  cfg.Start.Add(seedInterval),
-		joinWait:  joinDelay,
+		records:       map[cardamompass.VMID]*record{},
+		suspects:      map[cardamompass.VMID]*record{},
+		probes:        map[uint64]*probe{},
+		listProbes:    map[string]time.Time{},
+		lastTick:      cfg.Start,
+		lastAgreement: cfg.Start,
+		nextProbe:     cfg.Start,
+		nextSeedProbe: cfg.Start.Add(seedProbeInterval),
+		joinDelay:     minJoinDelay,
 	}
 	mch.digest = viewHash(mch.self)
 	mch.enqueue(cfg.Self.ID)
@@ -175,7 +176,7 @@
 // Self returns this VM's own record.
 func (mch *Machine) Self() cardamompass.Member { return mch.self }
 
-// Members returns all known members, this VM included, in the order of their ids.
+// Members returns all known members, including this VM, sorted by id.
 func (mch *Machine) Members() (mbrs []cardamompass.Member) {
 	mbrs = append(make([]cardamompass.Member, 0, len(mch.records)+1), mch.self)
 	for _, rec := range mch.records {
@@ -190,7 +191,7 @@
 // Next returns the time at which the next Tick is due.
 func (mch *Machine) Next() (due time.Time) {
 	due = mch.nextProbe
-	for _, rec := range mch.suspect {
+	for _, rec := range mch.suspects {
 		if rec.deadline.Before(due) {
 			due = rec.deadline
 		}
@@ -198,8 +199,8 @@
 	return due
 }
 
-// Apply changes the state by one event and returns what the driver has to do. A time before that of the last event, as
-// concurrent events have it, counts as that time.
+// Apply processes one event and returns the effects that the driver has to execute. Concurrent events may arrive out of
+// order; a time before that of the last event is replaced by that time.
 func (mch *Machine) Apply(evt Event) (effects []Effect) {
 	now := evt.at()
 	if now.Before(mch.now) {
@@ -211,17 +212,17 @@
 	case Tick:
 		mch.tick(now)
 	case PingReceived:
-		mch.arrived(evt.Message, now)
+		mch.pingReceived(evt.Message, now)
 	case RelayReceived:
-		mch.relay(evt.Request, now)
+		mch.relayReceived(evt.Request, now)
 	case ProbeAnswered:
-		mch.answered(evt, now)
+		mch.probeAnswered(evt, now)
 	case ProbeFailed:
-		mch.missed(evt.Probe, now)
+		mch.probeFailed(evt.Probe, now)
 	case VMsListed:
-		mch.hinted(evt.VMs, now)
+		mch.vmsListed(evt.VMs, now)
 	case LeaveRequested:
-		mch.leave(evt, now)
+		mch.leaveRequested(evt, now)
 	}
 	effects, mch.effects = mch.effects, nil
 	return effects
@@ -230,8 +231,8 @@
 func (mch *Machine) emit(eff Effect) { mch.effects = append(mch.effects, eff) }
 
 func (mch *Machine) tick(now time.Time) {
-	mch.forgiveStall(now)
-	mch.expire(now)
+	mch.extendSuspicions(now)
+	mch.expireSuspicions(now)
 	mch.sweep(now)
 	if now.Before(mch.nextProbe) {
 		return
@@ -244,43 +245,43 @@
 		mch.join(now)
 		return
 	}
-	mch.joinWait = joinDelay
+	mch.joinDelay = minJoinDelay
 	mch.probeNext(now)
 	mch.probeDead(now)
 	mch.probeSeed(now)
 }
 
-// forgiveStall prolongs suspicions by the time for which this process did not run, because refutations that arrived
-// meanwhile have not been read yet.
-func (mch *Machine) forgiveStall(now time.Time) {
+// extendSuspicions extends the suspicions by the time for which this process was stalled, because refutations that
+// arrived in that time have not been processed yet.
+func (mch *Machine) extendSuspicions(now time.Time) {
 	stall := now.Sub(mch.lastTick) - mch.cfg.ProbeInterval
 	mch.lastTick = now
 	if stall < mch.cfg.ProbeInterval {
 		return
 	}
-	for _, rec := range mch.suspect {
+	for _, rec := range mch.suspects {
 		rec.deadline = rec.deadline.Add(stall)
 	}
 }
 
-// expire declares members dead whose suspicion was not refuted in time.
-func (mch *Machine) expire(now time.Time) {
-	for _, vid := range mch.sorted(mch.suspect) {
-		rec := mch.suspect[vid]
+// expireSuspicions declares members dead that did not refute their suspicion in time.
+func (mch *Machine) expireSuspicions(now time.Time) {
+	for _, vid := range mch.sortedIDs(mch.suspects) {
+		rec := mch.suspects[vid]
 		if rec.deadline.After(now) {
 			continue
 		}
-		mch.set(rec, rec.mbr.WithState(cardamompass.StateDead), now, now, true)
+		mch.setRecord(rec, rec.mbr.WithState(cardamompass.StateDead), now, now, true)
 	}
 }
 
-// sweep forgets ended members after their retention.
+// sweep removes the records of members that died or left after the retention time.
 func (mch *Machine) sweep(now time.Time) {
 	if now.Before(mch.nextSweep) {
 		return
 	}
 	mch.nextSweep = now.Add(sweepInterval)
-	for _, vid := range mch.sorted(mch.records) {
+	for _, vid := range mch.sortedIDs(mch.records) {
 		rec := mch.records[vid]
 		if ended(rec.mbr) && now.Sub(rec.since) >= mch.cfg.Retention {
 			delete(mch.records, vid)
@@ -290,15 +291,15 @@
 			})
 		}
 	}
-	for name, last := range mch.hints {
-		if now.Sub(last) >= syncInterval {
-			delete(mch.hints, name)
+	for name, last := range mch.listProbes {
+		if now.Sub(last) >= minSyncInterval {
+			delete(mch.listProbes, name)
 		}
 	}
 }
 
-// sorted returns the ids in order, so that equal inputs give equal effects.
-func (*Machine) sorted(recs map[cardamompass.VMID]*record) (vids []cardamompass.VMID) {
+// sortedIDs returns the ids in order, so that the effects are deterministic.
+func (*Machine) sortedIDs(recs map[cardamompass.VMID]*record) (vids []cardamompass.VMID) {
 	vids = make([]cardamompass.VMID, 0, len(recs))
 	for vid := range recs {
 		vids = append(vids, vid)
--- a/internal/fleet/member/machine_test.go
+++ b/internal/fleet/member/machine_test.go
@@ -16,7 +16,7 @@
 	"cardamompass/internal/fleet/member"
 )
 
-var seedFlag = flag.Int64("seed", 0, "seed of the properties; 0 takes a new one")
+var seedFlag = flag.Int64("seed", 0, "seed of the property tests; 0 selects a new one")
 
 func properties(t *testing.T) *gopter.Properties {
 	num := *seedFlag
@@ -31,7 +31,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// genMember generates records of few VMs with few values, so that records meet.
+// genMember generates records of a few VMs with a few values, so that records of the same member conflict.
 func genMember() gopter.Gen {
 	return gen.Struct(reflect.TypeFor[cardamompass.Member](), map[string]gopter.Gen{
 		"VM": gen.Struct(reflect.TypeFor[cardamompass.VM](), map[string]gopter.Gen{
@@ -57,7 +57,7 @@
 	})
 }
 
-func news(mbrs ...cardamompass.Member) member.Message {
+func message(mbrs ...cardamompass.Member) member.Message {
 	msg := member.Message{
 		From: cardamompass.Member{
 			VM: cardamompass.VM{
@@ -75,39 +75,39 @@
 	return msg
 }
 
-// Guards against views that differ because the same records arrived in another order or in other messages.
+// Guards against views that depend on the order or the messages in which the same records arrive.
 func TestMergeCommutes(t *testing.T) {
 	pps := properties(t)
-	pps.Property("the order of arrival does not matter", prop.ForAll(func(mbrs []cardamompass.Member, num int64) bool {
+	pps.Property("the members do not depend on the order of arrival", prop.ForAll(func(mbrs []cardamompass.Member, num int64) bool {
 		one, two := newMachine(1), newMachine(2)
 		one.Apply(member.PingReceived{
 			Now:     start,
-			Message: news(mbrs...),
+			Message: message(mbrs...),
 		})
 		for _, idx := range rand.New(rand.NewSource(num)).Perm(len(mbrs)) {
 			two.Apply(member.PingReceived{
 				Now:     start,
-				Message: news(mbrs[idx], mbrs[idx]),
+				Message: message(mbrs[idx], mbrs[idx]),
 			})
 		}
 		two.Apply(member.PingReceived{
 			Now:     start,
-			Message: news(),
+			Message: message(),
 		})
 		return reflect.DeepEqual(one.Members(), two.Members())
 	}, gen.SliceOf(genMember()), gen.Int64()))
-	pps.Property("one of two different records is the later", prop.ForAll(func(one, two cardamompass.Member) bool {
+	pps.Property("of two different records, exactly one supersedes the other", prop.ForAll(func(one, two cardamompass.Member) bool {
 		two.VM.ID = one.VM.ID
 		return one == two || member.Supersedes(one, two) != member.Supersedes(two, one)
 	}, genMember(), genMember()))
 	pps.TestingRun(t)
 }
 
-// Guards against a member that comes back from suspicion, death or departure without having refuted it, whatever the
-// order of messages, lost probes and time.
+// Guards against a member that returns from suspect, dead or left to an earlier state without a refutation, for any order
+// of messages, lost probes and passage of time.
 func TestStatesDoNotGoBack(t *testing.T) {
 	pps := properties(t)
-	pps.Property("only a refutation leads back", prop.ForAll(func(mbrs []cardamompass.Member, num int64) string {
+	pps.Property("a record is replaced only by one that supersedes it", prop.ForAll(func(mbrs []cardamompass.Member, num int64) string {
 		rng := rand.New(rand.NewSource(num))
 		mch := newMachine(num)
 		now := start
@@ -118,7 +118,7 @@
 			evts := []member.Event{
 				member.PingReceived{
 					Now:     now,
-					Message: news(mbr),
+					Message: message(mbr),
 				},
 				member.Tick{
 					Now: now,
@@ -132,7 +132,7 @@
 				}, member.ProbeAnswered{
 					Now:     now,
 					Probe:   pid,
-					Message: news(mbr),
+					Message: message(mbr),
 				})
 			}
 			for _, eff := range mch.Apply(evts[rng.Intn(len(evts))]) {
@@ -153,10 +153,10 @@
 	pps.TestingRun(t)
 }
 
-// Guards against a suspicion of this VM that it does not answer at once.
+// Guards against a suspicion of this VM that is not refuted in the reply to the message that carried it.
 func TestRefutation(t *testing.T) {
 	pps := properties(t)
-	pps.Property("the answer carries the refutation", prop.ForAll(func(mbr cardamompass.Member, count uint64) bool {
+	pps.Property("the reply carries the refutation", prop.ForAll(func(mbr cardamompass.Member, count uint64) bool {
 		mch := newMachine(1)
 		mbr.VM.ID, mbr.VM.Incarnation, mbr.Refutation = "self", 1, count
 		if mbr.State == cardamompass.StateLeft {
@@ -164,7 +164,7 @@
 		}
 		for _, eff := range mch.Apply(member.PingReceived{
 			Now:     start,
-			Message: news(mbr),
+			Message: message(mbr),
 		}) {
 			if rep, ok := eff.(member.Reply); ok {
 				return rep.Message.From == mbr || !member.Supersedes(mbr, rep.Message.From) &&
@@ -176,8 +176,8 @@
 	pps.TestingRun(t)
 }
 
-// Guards against messages that grow with the fleet and against news that are passed on without end.
-func TestBoundedNews(t *testing.T) {
+// Guards against messages that grow with the fleet and against updates that are sent an unlimited number of times.
+func TestBoundedUpdates(t *testing.T) {
 	mch := newMachine(1)
 	var mbrs []cardamompass.Member
 	for num := range 430 {
@@ -193,12 +193,12 @@
 	for range 10_000 {
 		for _, eff := range mch.Apply(member.PingReceived{
 			Now:     start,
-			Message: news(mbrs...),
+			Message: message(mbrs...),
 		}) {
 			if rep, ok := eff.(member.Reply); ok {
 				sent += len(rep.Message.Updates)
 				if len(rep.Message.Updates) > 9 {
-					t.Fatalf("%d records on one message", len(rep.Message.Updates))
+					t.Fatalf("%d records in one message", len(rep.Message.Updates))
 				}
 			}
 		}
--- a/internal/fleet/member/merge.go
+++ b/internal/fleet/member/merge.go
@@ -8,8 +8,8 @@
 	"cardamompass"
 )
 
-// merge takes over a record if it supersedes the known one. Gossip is set for records that are passed on.
-// Revived reports that a member that was held dead serves again.
+// merge stores a record if it supersedes the known one. If gossip is set, the record is queued for sending. Revived
+// reports that a member that was declared dead serves again.
 func (mch *Machine) merge(upd Update, now time.Time, gossip bool) (revived bool) {
 	mbr := upd.Member
 	if mbr.VM.ID == mch.cfg.Self.ID {
@@ -27,19 +27,19 @@
 		}
 		rec = &record{}
 		mch.records[mbr.VM.ID] = rec
-		mch.set(rec, mbr, now, since, gossip)
+		mch.setRecord(rec, mbr, now, since, gossip)
 		return false
 	}
 	if !Supersedes(mbr, rec.mbr) {
 		return false
 	}
 	revived = rec.mbr.State == cardamompass.StateDead && mbr.Serving()
-	mch.set(rec, mbr, now, since, gossip)
+	mch.setRecord(rec, mbr, now, since, gossip)
 	return revived
 }
 
-// set replaces the record of another member.
-func (mch *Machine) set(rec *record, mbr cardamompass.Member, now, since time.Time, gossip bool) {
+// setRecord replaces the record of another member.
+func (mch *Machine) setRecord(rec *record, mbr cardamompass.Member, now, since time.Time, gossip bool) {
 	vid := mbr.VM.ID
 	known := rec.mbr.VM.ID != ""
 	was := known && rec.mbr.Serving()
@@ -52,16 +52,16 @@
 	rec.mbr = mbr
 	rec.since = since
 	rec.deadline = time.Time{}
-	delete(mch.suspect, vid)
+	delete(mch.suspects, vid)
 	if mbr.State == cardamompass.StateSuspect {
 		rec.deadline = now.Add(mch.cfg.SuspicionTimeout)
-		mch.suspect[vid] = rec
+		mch.suspects[vid] = rec
 	}
 	mch.digest ^= viewHash(mbr)
 	switch serves := mbr.Serving(); {
 	case serves && !was:
 		mch.serving++
-		mch.insert(vid)
+		mch.insertRandom(vid)
 	case !serves && was:
 		mch.serving--
 	}
@@ -73,7 +73,7 @@
 	})
 }
 
-// refute answers a record about this VM that others could take for its state.
+// refute handles a received record about this VM. It refutes a record that supersedes this VM's own one.
 func (mch *Machine) refute(mbr cardamompass.Member) {
 	if mbr.VM.Incarnation > mch.self.VM.Incarnation {
 		mch.emit(Superseded{
@@ -98,24 +98,24 @@
 	})
 }
 
-// contact notes that a member itself has answered or sent a probe.
-func (mch *Machine) contact(vid cardamompass.VMID) {
+// recordContact is called when a member has sent a probe or replied to one. It ends the suspicion of a leaving member.
+func (mch *Machine) recordContact(vid cardamompass.VMID) {
 	rec := mch.records[vid]
 	if rec != nil && rec.mbr.State == cardamompass.StateLeaving && !rec.deadline.IsZero() {
 		rec.deadline = time.Time{}
-		delete(mch.suspect, vid)
+		delete(mch.suspects, vid)
 	}
 }
 
-// insert puts a member at a random place among those that are still to be probed in this round.
-func (mch *Machine) insert(vid cardamompass.VMID) {
-	mch.ring = append(mch.ring, vid)
-	last := len(mch.ring) - 1
-	pos := mch.ringPos + mch.rng.Intn(last-mch.ringPos+1)
-	mch.ring[pos], mch.ring[last] = mch.ring[last], mch.ring[pos]
+// insertRandom inserts a member at a random position among those not yet probed in this round.
+func (mch *Machine) insertRandom(vid cardamompass.VMID) {
+	mch.probeOrder = append(mch.probeOrder, vid)
+	last := len(mch.probeOrder) - 1
+	pos := mch.probePos + mch.rng.Intn(last-mch.probePos+1)
+	mch.probeOrder[pos], mch.probeOrder[last] = mch.probeOrder[last], mch.probeOrder[pos]
 }
 
-// enqueue passes the record of a member on, from the first time again if it is queued already.
+// enqueue queues the record of a member for sending. If it is already queued, its transmission count restarts at 0.
 func (mch *Machine) enqueue(vid cardamompass.VMID) {
 	for num := range mch.queue {
 		if mch.queue[num].vid == vid {
@@ -123,32 +123,32 @@
 			break
 		}
 	}
-	// The queue is ordered by the number of transmissions, so a new record goes first.
-	mch.queue = slices.Insert(mch.queue, 0, queued{
+	// The queue is ordered by the number of transmissions, so a new record goes to the front.
+	mch.queue = slices.Insert(mch.queue, 0, queuedUpdate{
 		vid: vid,
 	})
 }
 
-// transmissions is the number of times that a record is passed on.
+// transmissions returns the number of times that a record is sent.
 func (mch *Machine) transmissions() int {
 	return int(math.Ceil(transmitFactor * math.Log(float64(mch.serving+2))))
 }
 
-// next takes the records for one message from the queue.
-func (mch *Machine) next(upds []Update, now time.Time) []Update {
+// takeUpdates appends the queued records for one message to upds.
+func (mch *Machine) takeUpdates(upds []Update, now time.Time) []Update {
 	cnt := min(maxUpdates, len(mch.queue))
 	limit := mch.transmissions()
 	taken := slices.Clone(mch.queue[:cnt])
 	mch.queue = mch.queue[cnt:]
 	for _, que := range taken {
-		if upd, ok := mch.update(que.vid, now); ok {
+		if upd, ok := mch.updateOf(que.vid, now); ok {
 			upds = append(upds, upd)
 		}
 		que.sent++
 		if que.sent >= limit {
 			continue
 		}
-		pos, _ := slices.BinarySearchFunc(mch.queue, que.sent, func(item queued, sent int) int {
+		pos, _ := slices.BinarySearchFunc(mch.queue, que.sent, func(item queuedUpdate, sent int) int {
 			if item.sent <= sent {
 				return -1
 			}
@@ -159,7 +159,7 @@
 	return upds
 }
 
-func (mch *Machine) update(vid cardamompass.VMID, now time.Time) (upd Update, ok bool) {
+func (mch *Machine) updateOf(vid cardamompass.VMID, now time.Time) (upd Update, ok bool) {
 	if vid == mch.cfg.Self.ID {
 		return Update{
 			Member: mch.self,
@@ -176,8 +176,8 @@
 	return upd, true
 }
 
-// compose makes a message for a member; vid is empty while the receiver is unknown.
-func (mch *Machine) compose(vid cardamompass.VMID, full bool, now time.Time) (msg Message) {
+// newMessage returns a message to member vid, which is empty while the receiver is unknown.
+func (mch *Machine) newMessage(vid cardamompass.VMID, full bool, now time.Time) (msg Message) {
 	msg = Message{
 		From:    mch.self,
 		Full:    full,
@@ -185,17 +185,17 @@
 		Settled: len(mch.queue) == 0,
 	}
 	if full {
-		for _, other := range mch.sorted(mch.records) {
-			upd, _ := mch.update(other, now)
+		for _, other := range mch.sortedIDs(mch.records) {
+			upd, _ := mch.updateOf(other, now)
 			msg.Updates = append(msg.Updates, upd)
 		}
 		return msg
 	}
-	// The receiver must learn what this VM believes of it before it can refute it.
+	// The receiver can refute this VM's record of it only after receiving the record.
 	if rec := mch.records[vid]; rec != nil && rec.mbr.State != cardamompass.StateAlive {
-		upd, _ := mch.update(vid, now)
+		upd, _ := mch.updateOf(vid, now)
 		msg.Updates = append(msg.Updates, upd)
 	}
-	msg.Updates = mch.next(msg.Updates, now)
+	msg.Updates = mch.takeUpdates(msg.Updates, now)
 	return msg
 }
--- a/internal/fleet/member/probe.go
+++ b/internal/fleet/member/probe.go
@@ -6,30 +6,30 @@
 	"cardamompass"
 )
 
-// receive takes over the records of a message. Repair reports that a full exchange with the sender is worthwhile.
-func (mch *Machine) receive(msg Message, now time.Time, gossip bool) (repair bool) {
+// mergeMessage merges the records of a message. Repair reports that a full exchange with the sender is needed.
+func (mch *Machine) mergeMessage(msg Message, now time.Time, gossip bool) (repair bool) {
 	from := msg.From.VM.ID
 	repair = mch.merge(Update{
 		Member: msg.From,
 	}, now, gossip)
-	mch.contact(from)
+	mch.recordContact(from)
 	for _, upd := range msg.Updates {
 		mch.merge(upd, now, gossip)
 	}
 	if msg.Digest == mch.digest {
-		mch.agreed = now
+		mch.lastAgreement = now
 		return repair
 	}
 	settled := msg.Settled && len(mch.queue) == 0
-	return repair || settled || now.Sub(mch.agreed) > disagreement
+	return repair || settled || now.Sub(mch.lastAgreement) > maxDisagreement
 }
 
-func (mch *Machine) arrived(msg Message, now time.Time) {
-	repair := mch.receive(msg, now, true)
-	reply := mch.compose(msg.From.VM.ID, msg.Full, now)
+func (mch *Machine) pingReceived(msg Message, now time.Time) {
+	repair := mch.mergeMessage(msg, now, true)
+	reply := mch.newMessage(msg.From.VM.ID, msg.Full, now)
 	if rec := mch.records[msg.From.VM.ID]; rec != nil && rec.mbr.VM.Incarnation > msg.From.VM.Incarnation {
-		// An older process of the VM still runs and has to learn of its successor.
-		upd, _ := mch.update(msg.From.VM.ID, now)
+		// An earlier incarnation of the VM is still running. The record informs it that it is superseded.
+		upd, _ := mch.updateOf(msg.From.VM.ID, now)
 		reply.Updates = append(reply.Updates, upd)
 	}
 	mch.emit(Reply{
@@ -40,13 +40,13 @@
 	}
 }
 
-func (mch *Machine) relay(req RelayRequest, now time.Time) {
-	mch.receive(req.Message, now, true)
+func (mch *Machine) relayReceived(req RelayRequest, now time.Time) {
+	mch.mergeMessage(req.Message, now, true)
 	mch.merge(Update{
 		Member: req.Target,
 	}, now, true)
 	mch.emit(Reply{
-		Message: mch.compose(req.Message.From.VM.ID, false, now),
+		Message: mch.newMessage(req.Message.From.VM.ID, false, now),
 	})
 	mch.ping(probe{
 		target: req.Target.VM.ID,
@@ -54,11 +54,11 @@
 	}, Ping{
 		Address: req.Target.VM.PeerAddress,
 		Relay:   true,
-		Message: mch.compose(req.Target.VM.ID, false, now),
+		Message: mch.newMessage(req.Target.VM.ID, false, now),
 	})
 }
 
-// ping starts a probe.
+// ping emits a probe and registers it as running.
 func (mch *Machine) ping(prb probe, eff Ping) {
 	mch.lastID++
 	prb.pending = 1
@@ -73,56 +73,56 @@
 	if now.Before(mch.nextSync) || mch.self.State == cardamompass.StateLeft {
 		return
 	}
-	mch.nextSync = now.Add(syncInterval)
+	mch.nextSync = now.Add(minSyncInterval)
 	mch.ping(probe{
 		target: mbr.VM.ID,
 		inc:    mbr.VM.Incarnation,
 	}, Ping{
 		Address: mbr.VM.PeerAddress,
-		Message: mch.compose(mbr.VM.ID, true, now),
+		Message: mch.newMessage(mbr.VM.ID, true, now),
 	})
 }
 
-func (mch *Machine) answered(evt ProbeAnswered, now time.Time) {
+func (mch *Machine) probeAnswered(evt ProbeAnswered, now time.Time) {
 	prb := mch.probes[evt.Probe]
 	if prb == nil {
 		return
 	}
 	if !prb.indirect && prb.target != "" && prb.target != evt.Message.From.VM.ID {
-		// Another VM has taken over the address.
-		mch.receive(evt.Message, now, true)
-		mch.missed(evt.Probe, now)
+		// The address now belongs to another VM.
+		mch.mergeMessage(evt.Message, now, true)
+		mch.probeFailed(evt.Probe, now)
 		return
 	}
 	prb.pending--
 	if !prb.indirect || prb.pending <= 0 {
 		delete(mch.probes, evt.Probe)
 	}
-	// The others of several indirect probes may still fail; they must not lead to suspicion any more.
-	prb.check = false
+	// Other indirect probes of the target may still fail; these failures must not lead to suspicion.
+	prb.suspects = false
 	if rec := mch.records[prb.target]; rec != nil && rec.mbr.VM.Incarnation == prb.inc {
 		rec.probing = false
 	}
-	mch.contact(prb.target)
+	mch.recordContact(prb.target)
 	before := mch.self
-	// Members learnt on joining are known to the others, so they are not passed on.
-	repair := mch.receive(evt.Message, now, !prb.join)
+	// Members received on joining are already known to the other VMs, so their records are not queued.
+	repair := mch.mergeMessage(evt.Message, now, !prb.join)
 	switch {
 	case mch.self != before:
-		// The sender has to learn the refutation before its suspicion ends.
+		// The refutation must reach the sender before its suspicion timeout ends.
 		mch.ping(probe{
 			target: evt.Message.From.VM.ID,
 			inc:    evt.Message.From.VM.Incarnation,
 		}, Ping{
 			Address: evt.Message.From.VM.PeerAddress,
-			Message: mch.compose(evt.Message.From.VM.ID, false, now),
+			Message: mch.newMessage(evt.Message.From.VM.ID, false, now),
 		})
 	case repair && !evt.Message.Full:
 		mch.sync(evt.Message.From, now)
 	}
 }
 
-func (mch *Machine) missed(pid uint64, now time.Time) {
+func (mch *Machine) probeFailed(pid uint64, now time.Time) {
 	prb := mch.probes[pid]
 	if prb == nil {
 		return
@@ -133,29 +133,29 @@
 	}
 	delete(mch.probes, pid)
 	rec := mch.records[prb.target]
-	if rec == nil || rec.mbr.VM.Incarnation != prb.inc || !prb.check {
+	if rec == nil || rec.mbr.VM.Incarnation != prb.inc || !prb.suspects {
 		return
 	}
-	if !prb.indirect && rec.mbr.Serving() && mch.askRelays(pid, prb, rec, now) {
+	if !prb.indirect && rec.mbr.Serving() && mch.probeIndirectly(pid, prb, rec, now) {
 		return
 	}
 	rec.probing = false
 	switch rec.mbr.State {
 	case cardamompass.StateAlive:
-		mch.set(rec, rec.mbr.WithState(cardamompass.StateSuspect), now, now, true)
+		mch.setRecord(rec, rec.mbr.WithState(cardamompass.StateSuspect), now, now, true)
 	case cardamompass.StateLeaving:
 		if rec.deadline.IsZero() {
 			rec.deadline = now.Add(mch.cfg.SuspicionTimeout)
-			mch.suspect[prb.target] = rec
+			mch.suspects[prb.target] = rec
 		}
 	default:
-		// Suspected already or ended.
+		// The member is already suspected, is dead or has left.
 	}
 }
 
-// askRelays has other members probe a member that did not answer.
-func (mch *Machine) askRelays(pid uint64, prb *probe, rec *record, now time.Time) (asked bool) {
-	vids := mch.pick(relays, prb.target)
+// probeIndirectly requests other members to probe a member that did not respond.
+func (mch *Machine) probeIndirectly(pid uint64, prb *probe, rec *record, now time.Time) (asked bool) {
+	vids := mch.pickAlive(relayCount, prb.target)
 	if len(vids) == 0 {
 		return false
 	}
@@ -168,7 +168,7 @@
 			Address: mch.records[vid].mbr.VM.PeerAddress,
 			Timeout: mch.cfg.RelayTimeout,
 			Request: RelayRequest{
-				Message: mch.compose(vid, false, now),
+				Message: mch.newMessage(vid, false, now),
 				Target:  rec.mbr,
 			},
 		})
@@ -176,9 +176,9 @@
 	return true
 }
 
-// pick returns up to cnt random alive members except one.
-func (mch *Machine) pick(cnt int, except cardamompass.VMID) (vids []cardamompass.VMID) {
-	all := mch.sorted(mch.records)
+// pickAlive returns up to cnt random alive or leaving members other than except.
+func (mch *Machine) pickAlive(cnt int, except cardamompass.VMID) (vids []cardamompass.VMID) {
+	all := mch.sortedIDs(mch.records)
 	for _, num := range mch.rng.Perm(len(all)) {
 		if len(vids) == cnt {
 			break
@@ -194,21 +194,21 @@
 // probeNext probes the next member of the round.
 func (mch *Machine) probeNext(now time.Time) {
 	for range 2 {
-		for mch.ringPos < len(mch.ring) {
-			vid := mch.ring[mch.ringPos]
-			mch.ringPos++
+		for mch.probePos < len(mch.probeOrder) {
+			vid := mch.probeOrder[mch.probePos]
+			mch.probePos++
 			rec := mch.records[vid]
 			if rec == nil || !rec.mbr.Serving() || rec.probing {
 				continue
 			}
 			rec.probing = true
 			mch.ping(probe{
-				target: vid,
-				inc:    rec.mbr.VM.Incarnation,
-				check:  true,
+				target:   vid,
+				inc:      rec.mbr.VM.Incarnation,
+				suspects: true,
 			}, Ping{
 				Address: rec.mbr.VM.PeerAddress,
-				Message: mch.compose(vid, false, now),
+				Message: mch.newMessage(vid, false, now),
 			})
 			return
 		}
@@ -217,26 +217,26 @@
 }
 
 func (mch *Machine) reshuffle() {
-	mch.ring = mch.ring[:0]
-	mch.ringPos = 0
-	for _, vid := range mch.sorted(mch.records) {
+	mch.probeOrder = mch.probeOrder[:0]
+	mch.probePos = 0
+	for _, vid := range mch.sortedIDs(mch.records) {
 		if mch.records[vid].mbr.Serving() {
-			mch.ring = append(mch.ring, vid)
+			mch.probeOrder = append(mch.probeOrder, vid)
 		}
 	}
-	mch.rng.Shuffle(len(mch.ring), func(one, two int) {
-		mch.ring[one], mch.ring[two] = mch.ring[two], mch.ring[one]
+	mch.rng.Shuffle(len(mch.probeOrder), func(one, two int) {
+		mch.probeOrder[one], mch.probeOrder[two] = mch.probeOrder[two], mch.probeOrder[one]
 	})
 }
 
-// probeDead probes a random dead member now and then, so that the sides of a healed partition find each other.
+// probeDead probes a random dead member every deadProbeInterval, so that the sides of a healed partition rejoin.
 func (mch *Machine) probeDead(now time.Time) {
-	if now.Before(mch.nextDead) {
+	if now.Before(mch.nextDeadProbe) {
 		return
 	}
-	mch.nextDead = now.Add(deadInterval)
+	mch.nextDeadProbe = now.Add(deadProbeInterval)
 	var dead []cardamompass.VMID
-	for _, vid := range mch.sorted(mch.records) {
+	for _, vid := range mch.sortedIDs(mch.records) {
 		if mch.records[vid].mbr.State == cardamompass.StateDead {
 			dead = append(dead, vid)
 		}
@@ -251,28 +251,28 @@
 		inc:    mbr.VM.Incarnation,
 	}, Ping{
 		Address: mbr.VM.PeerAddress,
-		Message: mch.compose(vid, false, now),
+		Message: mch.newMessage(vid, false, now),
 	})
 }
 
-// reach probes an address whose member is unknown.
-func (mch *Machine) reach(address string, join bool, now time.Time) {
+// probeAddress probes an address for which no member is known.
+func (mch *Machine) probeAddress(address string, join bool, now time.Time) {
 	mch.ping(probe{
 		join: join,
 	}, Ping{
 		Address: address,
-		Message: mch.compose("", true, now),
+		Message: mch.newMessage("", true, now),
 	})
 }
 
-// join probes all seeds while no other member is known, with a growing delay and without end.
+// join probes all seeds while no other member serves, with exponential back-off and without a limit on the attempts.
 func (mch *Machine) join(now time.Time) {
-	wait := mch.joinWait/2 + time.Duration(mch.rng.Int63n(int64(mch.joinWait)))
+	wait := mch.joinDelay/2 + time.Duration(mch.rng.Int63n(int64(mch.joinDelay)))
 	mch.nextProbe = now.Add(wait)
-	mch.joinWait = min(2*mch.joinWait, maxJoinDelay)
+	mch.joinDelay = min(2*mch.joinDelay, maxJoinDelay)
 	for _, address := range mch.cfg.Seeds {
 		if address != mch.cfg.Self.PeerAddress {
-			mch.reach(address, true, now)
+			mch.probeAddress(address, true, now)
 		}
 	}
 	mch.probeDead(now)
@@ -280,10 +280,10 @@
 
 // probeSeed probes a seed that no serving member uses.
 func (mch *Machine) probeSeed(now time.Time) {
-	if now.Before(mch.nextSeed) {
+	if now.Before(mch.nextSeedProbe) {
 		return
 	}
-	mch.nextSeed = now.Add(seedInterval)
+	mch.nextSeedProbe = now.Add(seedProbeInterval)
 	used := map[string]bool{
 		mch.cfg.Self.PeerAddress: true,
 	}
@@ -299,12 +299,12 @@
 		}
 	}
 	if len(free) > 0 {
-		mch.reach(free[mch.rng.Intn(len(free))], false, now)
+		mch.probeAddress(free[mch.rng.Intn(len(free))], false, now)
 	}
 }
 
-// hinted probes VMs that are listed and not known to serve.
-func (mch *Machine) hinted(vms []cardamompass.ListedVM, now time.Time) {
+// vmsListed probes listed VMs that are not known to be serving.
+func (mch *Machine) vmsListed(vms []cardamompass.ListedVM, now time.Time) {
 	if mch.self.State == cardamompass.StateLeft {
 		return
 	}
@@ -313,17 +313,17 @@
 		vm := vms[num]
 		rec := mch.records[cardamompass.VMID(vm.Name)]
 		known := vm.Name == string(mch.cfg.Self.ID) || rec != nil && rec.mbr.Serving()
-		last, tried := mch.hints[vm.Name]
-		if known || tried && now.Sub(last) < syncInterval || sent == maxHints {
+		last, tried := mch.listProbes[vm.Name]
+		if known || tried && now.Sub(last) < minSyncInterval || sent == maxListProbes {
 			continue
 		}
 		sent++
-		mch.hints[vm.Name] = now
-		mch.reach(vm.Address, mch.serving == 0, now)
+		mch.listProbes[vm.Name] = now
+		mch.probeAddress(vm.Address, mch.serving == 0, now)
 	}
 }
 
-func (mch *Machine) leave(evt LeaveRequested, now time.Time) {
+func (mch *Machine) leaveRequested(evt LeaveRequested, now time.Time) {
 	if mch.self.State == cardamompass.StateLeft {
 		return
 	}
@@ -334,7 +334,7 @@
 	if next == mch.self {
 		return
 	}
-	// A changed successor at the same state is only certain to replace the former one with a higher counter.
+	// A record with another successor but the same state reliably supersedes the former one only with a higher counter.
 	if next.State == mch.self.State {
 		next.Refutation++
 	}
@@ -343,7 +343,7 @@
 		mch.nextProbe = now
 		return
 	}
-	vids := mch.pick(leaveProbes, evt.Successor)
+	vids := mch.pickAlive(leaveProbeCount, evt.Successor)
 	if rec := mch.records[evt.Successor]; rec != nil {
 		vids = append(vids, evt.Successor)
 	}
@@ -355,7 +355,7 @@
 		}, Ping{
 			Address: mbr.VM.PeerAddress,
 			Leave:   true,
-			Message: mch.compose(vid, false, now),
+			Message: mch.newMessage(vid, false, now),
 		})
 	}
 }
--- a/internal/fleet/member/wire.go
+++ b/internal/fleet/member/wire.go
@@ -8,7 +8,7 @@
 	"cardamompass"
 )
 
-// Names of the rpc methods.
+// Names of the RPC methods.
 const (
 	// ServiceName is the name under which Agent.Service is registered at the peer server.
 	ServiceName   = "Member"
@@ -16,40 +16,40 @@
 	methodPingReq = ServiceName + ".PingReq"
 )
 
-// Update is the record of a member as it travels between VMs.
+// Update is the record of a member in a message.
 type Update struct {
 	// Member is the record.
 	Member cardamompass.Member
-	// AgeSeconds is the time since the member died or left, so that no VM keeps the record longer because it learnt it
-	// later.
+	// AgeSeconds is the time since the member died or left. It ensures that a VM that receives the record later does not
+	// keep it longer.
 	AgeSeconds uint32
 }
 
-// Payload is the opaque content of another subsystem that travels on probes and their answers.
+// Payload is the opaque data of another subsystem that is piggybacked on probes and their replies.
 type Payload struct {
 	// Name is the subsystem's name.
 	Name string
-	// Data is the content, at most MaxPayloadBytes.
+	// Data is at most MaxPayloadBytes long.
 	Data []byte
 }
 
-// Message is a probe or the answer to one.
+// Message is a probe or the reply to one.
 type Message struct {
 	// From is the sender's own record.
 	From cardamompass.Member
-	// Updates are records that the sender passes on; in a full message, all that it has.
+	// Updates are records that the sender has queued; in a full message, all its records.
 	Updates []Update
-	// Full marks a probe that carries all records and asks for all records.
+	// Full marks a message of a full exchange: a probe with all records, which requests all records of the receiver.
 	Full bool
 	// Digest is the digest of the sender's view.
 	Digest uint64
-	// Settled is set when the sender has no records left to pass on.
+	// Settled is set when the sender has no queued records.
 	Settled bool
-	// Payloads are the contents of other subsystems.
+	// Payloads are the payloads of other subsystems.
 	Payloads []Payload
 }
 
-// RelayRequest asks a member to probe another one.
+// RelayRequest requests a member, the relay, to probe another member.
 type RelayRequest struct {
 	// Message is the sender's probe of the relay.
 	Message Message
@@ -57,13 +57,13 @@
 	Target cardamompass.Member
 }
 
-// RelayReply answers a RelayRequest.
+// RelayReply is the reply to a RelayRequest.
 type RelayReply struct {
-	// Message is the relay's answer.
+	// Message is the relay's reply to the probe.
 	Message Message
-	// Reached is set when the target answered the relay.
+	// Reached is set when the target replied to the relay.
 	Reached bool
-	// Target is the record that the target answered with.
+	// Target is the target's own record from that reply.
 	Target cardamompass.Member
 }
 
@@ -85,8 +85,9 @@
 	return mbr.Successor > old.Successor
 }
 
-// viewHash is the part of a record in the digest of a view. Suspicions and refutations are left out because they pass
-// too quickly to be worth a full exchange; ended members are left out because VMs forget them at different moments.
+// viewHash returns the contribution of a record to the digest of a view. Suspicions and refutations are excluded because
+// they are too short-lived to justify a full exchange. Members that died or left are excluded because VMs remove their
+// records at different times.
 func viewHash(mbr cardamompass.Member) uint64 {
 	if !mbr.Serving() {
 		return 0
