--- a/internal/edge/entry/bench_test.go
+++ b/internal/edge/entry/bench_test.go
@@ -16,7 +16,7 @@
 	"cardamompass/internal/stand/demo"
 )
 
-// BenchmarkLookupHTTP measures look-ups over connections that are kept, with caller and entry VM in this process.
+// BenchmarkLookupHTTP measures look-ups over keep-alive connections, with caller and entry VM in this process.
 func BenchmarkLookupHTTP(b *testing.B) {
 	cfg, err := demo.Small(zap.NewNop())
 	if err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// idleTime is the time over which the processor time of an idle entry VM is taken.
-const idleTime = 3 * time.Second
+// idlePeriod is the period over which the CPU time of an idle entry VM is measured.
+const idlePeriod = 3 * time.Second
 
 func processorTime(b *testing.B) (used time.Duration) {
 	var usg syscall.Rusage
@@ -61,28 +61,28 @@
 	return time.Duration(usg.Utime.Nano() + usg.Stime.Nano())
 }
 
-// BenchmarkIdle reports the heap, the goroutines and the processor time of one more entry VM without a catalogue, whose
-// store is out of reach.
+// BenchmarkIdle reports the heap, the goroutines and the CPU time that one more idle entry VM costs, without a catalogue
+// and with an unreachable store.
 func BenchmarkIdle(b *testing.B) {
 	for b.Loop() {
 		runtime.GC()
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		count := runtime.NumGoroutine()
-		startAlone(b)
+		startWithoutStore(b)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "heap-MiB")
 		b.ReportMetric(float64(runtime.NumGoroutine()-count), "goroutines")
 		used := processorTime(b)
-		time.Sleep(idleTime)
-		b.ReportMetric(float64(processorTime(b)-used)/float64(idleTime)*1000, "cpu-ms/s")
+		time.Sleep(idlePeriod)
+		b.ReportMetric(float64(processorTime(b)-used)/float64(idlePeriod)*1000, "cpu-ms/s")
 	}
 	b.ReportMetric(0, "ns/op")
 }
 
 // BenchmarkRequestHTTP measures requests that run on a target, 8 at a time, with caller, entry VM and target in this
-// process. cpu-us is the processor time of all three for one request.
+// process. cpu-us is the CPU time of all three per request.
 func BenchmarkRequestHTTP(b *testing.B) {
 	cfg, err := demo.Small(zap.NewNop())
 	if err != nil {
@@ -107,7 +107,7 @@
 		for num := range parallel {
 			wtg.Go(func() {
 				for pos := range each {
-					sendOne(b, trn, url, fmt.Sprintf("bench-%d-%d-%d", sent, num, pos))
+					sendRequest(b, trn, url, fmt.Sprintf("bench-%d-%d-%d", sent, num, pos))
 				}
 			})
 		}
@@ -118,7 +118,7 @@
 	b.ReportMetric(float64(sent)/b.Elapsed().Seconds(), "requests/s")
 }
 
-func sendOne(b *testing.B, trn *http.Transport, url, rid string) {
+func sendRequest(b *testing.B, trn *http.Transport, url, rid string) {
 	rqs, err := http.NewRequest(http.MethodGet, url, http.NoBody)
 	if err != nil {
 		b.Error(err)
--- a/internal/edge/entry/caller.go
+++ b/internal/edge/entry/caller.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	// writeGrace is added to a request's deadline for the writing of its answer.
+	// writeGrace is the time after a request's deadline in which its response may still be written.
 	writeGrace = 5 * time.Second
-	// copyBytes is the size of the pieces in which long answers are passed on.
-	copyBytes = 32 << 10
+	// copyBufferBytes is the size of the buffer through which response bodies are copied.
+	copyBufferBytes = 32 << 10
 )
 
-// Refusal is what a caller gets in place of an answer.
+// Refusal is the JSON body of the response to a request that was not answered by a target.
 type Refusal struct {
 	Outcome   cardamompass.Outcome   `json:"outcome"`
 	Reason    string                 `json:"reason"`
 	RequestID cardamompass.RequestID `json:"request-id,omitempty"`
 }
 
-// OperationStatus answers the question what became of an operation.
+// OperationStatus is the JSON body of the response to a query for the state of an operation.
 type OperationStatus struct {
 	State  string `json:"state"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// serve starts the listeners of callers and operators.
+// serve starts the HTTP servers for callers and operators.
 func (prc *Process) serve() (err error) {
 	lim := prc.cfg.Settings.Limits
-	prc.callers = &http.Server{
+	prc.callerServer = &http.Server{
 		Handler:           prc.callerRoutes(),
 		ReadHeaderTimeout: lim.ReadHeaderTimeout,
 		IdleTimeout:       lim.IdleTimeout,
@@ -57,10 +57,10 @@
 		MaxHeaderBytes:    int(lim.MaxHeader),
 		ErrorLog:          zap.NewStdLog(prc.cfg.Log),
 	}
-	prc.wtg.Go(func() { _ = prc.callers.Serve(netutil.LimitListener(prc.callerAt, lim.MaxConnections)) })
-	prc.wtg.Go(func() { _ = operators.Serve(prc.operAt) })
+	prc.wtg.Go(func() { _ = prc.callerServer.Serve(netutil.LimitListener(prc.callerListener, lim.MaxConnections)) })
+	prc.wtg.Go(func() { _ = operators.Serve(prc.operatorListener) })
 	prc.onCleanup(func() {
-		_ = prc.callers.Close()
+		_ = prc.callerServer.Close()
 		_ = operators.Close()
 	})
 	return nil
@@ -86,10 +86,10 @@
 	return rtr
 }
 
-// handleLookup answers which entry VMs to use.
+// handleLookup answers a look-up with the entry VMs that the caller should use.
 func (prc *Process) handleLookup(rsw http.ResponseWriter, rqs *http.Request) {
 	query := rqs.URL.Query()
-	qst := lookup.Query{
+	qry := lookup.Query{
 		Service: cardamompass.ServiceName(query.Get("service")),
 		Region:  cardamompass.Region(query.Get("region")),
 		Client:  clientAddress(rqs),
@@ -99,13 +99,13 @@
 		if err != nil {
 			prc.refuse(rsw, "", &cardamompass.InvalidError{
 				Field:  "client",
-				Reason: "must be an IP number",
+				Reason: "must be an IP address",
 			})
 			return
 		}
-		qst.Client = addr
+		qry.Client = addr
 	}
-	data, err := prc.lookups.Resolve(qst)
+	data, err := prc.lookups.Resolve(qry)
 	if err != nil {
 		prc.refuse(rsw, "", err)
 		return
@@ -116,7 +116,7 @@
 	_, _ = rsw.Write(data)
 }
 
-// handleOperation tells what became of an operation.
+// handleOperation answers a query for the state of an operation.
 func (prc *Process) handleOperation(rsw http.ResponseWriter, rqs *http.Request) {
 	query := rqs.URL.Query()
 	rid := cardamompass.RequestID(query.Get("request-id"))
@@ -128,7 +128,7 @@
 		prc.refuse(rsw, rid, err)
 		return
 	}
-	oct := prc.opers.Status(rqs.Context(), oper.Operation{
+	oct := prc.operations.Status(rqs.Context(), oper.Operation{
 		Ticket:  tkt,
 		Request: rid,
 	})
@@ -139,20 +139,20 @@
 	})
 }
 
-// handleRequest runs a caller's request and passes on the answer, or a refusal.
+// handleRequest runs a caller's request and writes the target's response, or a refusal.
 func (prc *Process) handleRequest(rsw http.ResponseWriter, rqs *http.Request) {
 	req, err := prc.readRequest(rqs)
 	if err != nil {
-		prc.refuse(rsw, req.ID, truthful(rqs, err))
+		prc.refuse(rsw, req.ID, rejectionError(rqs, err))
 		return
 	}
 	ctl := http.NewResponseController(rsw)
 	_ = ctl.SetWriteDeadline(req.Deadline.Add(writeGrace))
-	var ans cardamompass.Response
+	var rsp cardamompass.Response
 	if req.Idempotent {
-		ans, err = prc.engine.Execute(rqs.Context(), req)
+		rsp, err = prc.engine.Execute(rqs.Context(), req)
 	} else {
-		ans, err = prc.opers.Run(rqs.Context(), req, prc.engine.Execute)
+		rsp, err = prc.operations.Run(rqs.Context(), req, prc.engine.Execute)
 	}
 	if err != nil {
 		prc.cfg.Log.Info("request refused", zap.String("request-id", string(req.ID)),
@@ -160,58 +160,58 @@
 		prc.refuse(rsw, req.ID, err)
 		return
 	}
-	prc.passOn(rsw, req, ans)
+	prc.writeResponse(rsw, req, rsp)
 }
 
-// truthful returns the error of a request that was not accepted, as far as it is certain. An earlier sending of an
-// operation may have run through another VM, whose catalogue may differ. Only a first sending can therefore be refused
-// for what this VM lacks without asking the operation's home.
-func truthful(rqs *http.Request, err error) error {
+// rejectionError returns the error to report for a request that readRequest rejected. An earlier attempt of a
+// non-idempotent operation may have run through another VM, whose catalogue may differ. A rejection because of this
+// VM's catalogue is therefore reported as not run only for a first attempt; for later ones the outcome is unknown.
+func rejectionError(rqs *http.Request, err error) error {
 	var nrn *cardamompass.NotRunError
 	var inv *cardamompass.InvalidError
-	lacking := errors.As(err, &nrn) || errors.As(err, &inv) && inv.Field == serviceField
-	if !lacking || declaredIdempotent(rqs) || rqs.Header.Get(cardamompass.HeaderAttempt) == "1" {
+	unavailable := errors.As(err, &nrn) || errors.As(err, &inv) && inv.Field == serviceField
+	if !unavailable || declaredIdempotent(rqs) || rqs.Header.Get(cardamompass.HeaderAttempt) == "1" {
 		return err
 	}
 	return &cardamompass.UnknownOutcomeError{
-		Reason: "an earlier sending may have run; this one: " + errors.Cause(err).Error(),
+		Reason: "an earlier attempt may have run; this one: " + errors.Cause(err).Error(),
 	}
 }
 
-// passOn writes the answer. When it can't be written whole, the connection is cut before the declared end, so that the
-// caller sees that the answer is not whole.
-func (prc *Process) passOn(rsw http.ResponseWriter, req cardamompass.Request, ans cardamompass.Response) {
-	defer func() { _ = ans.Body.Close() }()
+// writeResponse copies the target's response to the caller. If the body can't be copied completely, the connection is
+// aborted before the declared end, so that the caller detects the truncation.
+func (prc *Process) writeResponse(rsw http.ResponseWriter, req cardamompass.Request, rsp cardamompass.Response) {
+	defer func() { _ = rsp.Body.Close() }()
 	hdr := rsw.Header()
-	for name, values := range ans.Header {
+	for name, values := range rsp.Header {
 		if !strings.HasPrefix(name, headerPrefix) {
 			hdr[name] = values
 		}
 	}
 	hdr.Set(cardamompass.HeaderOutcome, string(cardamompass.OutcomeAnswered))
 	hdr.Set(cardamompass.HeaderRequestID, string(req.ID))
-	if ans.Length >= 0 && hdr.Get("Content-Length") == "" {
-		hdr.Set("Content-Length", strconv.FormatInt(ans.Length, 10))
+	if rsp.Length >= 0 && hdr.Get("Content-Length") == "" {
+		hdr.Set("Content-Length", strconv.FormatInt(rsp.Length, 10))
 	}
 	prc.closeWhenLeaving(rsw)
-	rsw.WriteHeader(ans.Status)
-	if _, err := io.CopyBuffer(onlyWriter{rsw}, ans.Body, make([]byte, copyBytes)); err != nil {
+	rsw.WriteHeader(rsp.Status)
+	if _, err := io.CopyBuffer(writerOnly{rsw}, rsp.Body, make([]byte, copyBufferBytes)); err != nil {
 		prc.cfg.Log.Warn("answer cut", zap.String("request-id", string(req.ID)), zap.Error(err))
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// onlyWriter hides the other methods of a response writer, so that io.CopyBuffer uses its buffer.
-type onlyWriter struct{ io.Writer }
+// writerOnly hides the ReadFrom method of a response writer, so that io.CopyBuffer uses the given buffer.
+type writerOnly struct{ io.Writer }
 
-// closeWhenLeaving asks the caller to use another connection after this answer, while a planned stop is under way.
+// closeWhenLeaving sets "Connection: close" during a planned stop, so that the caller opens its next connection elsewhere.
 func (prc *Process) closeWhenLeaving(rsw http.ResponseWriter) {
 	if prc.leaving.Load() {
 		rsw.Header().Set("Connection", "close")
 	}
 }
 
-// refuse writes the refusal that err stands for.
+// refuse writes the refusal for err and counts it.
 func (prc *Process) refuse(rsw http.ResponseWriter, rid cardamompass.RequestID, err error) {
 	rfs := Refusal{
 		Outcome:   engine.OutcomeOf(err),
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -1,8 +1,9 @@
-// Package entry is the process of one entry VM: its listeners and the wiring of all its parts.
+// Package entry implements the process of one entry VM: its listeners and the wiring of its components.
 //
-// Three listeners are kept apart. Callers reach look-ups and services, other entry VMs the peer protocol, operators
-// the state dump and the metrics. A planned stop (Process.Stop) leaves look-ups at once, serves until no caller can hold a
-// look-up answer that names this VM, hands over what it owns, and then finishes its requests.
+// There are three separate listeners: callers reach look-ups and services, other entry VMs the peer protocol, and
+// operators the state dump and the metrics. A planned stop (Process.Stop) removes the VM from look-ups at once, keeps
+// serving until every look-up response that names the VM has expired, transfers its operation records to a successor,
+// and then finishes the requests in flight.
 package entry
 
 import (
@@ -35,13 +36,13 @@
 const (
 	// CatalogueKey is the key of the catalogue in the store.
 	CatalogueKey = "catalogue"
-	// ledgerPrefix is put before the names of resources to form the keys of their ledgers.
+	// ledgerPrefix is the key prefix of the share ledgers in the store; the name of the resource follows.
 	ledgerPrefix = "share/"
-	// watchWait bounds one watch of the catalogue. A store that was restored to an older state answers a watch for a later
-	// revision only at its end, and what it accepts then has to be in force within a second. Three watchers make about
-	// four calls a second.
+	// watchWait is the longest duration of one watch call on the catalogue. A store that was restored to an older state
+	// answers a watch for a later revision only when the wait ends, and an edit that it then accepts must be active within
+	// a second. Three watchers make about four calls a second.
 	watchWait = 500 * time.Millisecond
-	// recentDecisions is the number of decisions kept for the dump.
+	// recentDecisions is the number of routing decisions kept for the state dump.
 	recentDecisions = 4096
 )
 
@@ -49,76 +50,76 @@
 type Config struct {
 	Settings config.Settings
 	Store    cardamompass.Store
-	// VMs is the platform's VM list; nil if there is none.
+	// VMs reads the platform's VM list; nil if the platform has none.
 	VMs   cardamompass.VMLister
 	Clock cardamompass.Clock
 	Log   *zap.Logger
-	// BootID identifies the run of the VM's operating system; empty if that is not known.
+	// BootID identifies the boot of the VM's operating system; empty if it is not known.
 	BootID string
-	// LinesDropped returns the number of log lines that the limit left out; nil if there is none.
+	// LinesDropped returns the number of log lines dropped by the rate limit; nil if there is no limit.
 	LinesDropped func() int64
-	// Naive replaces the steering by its baseline, for measurements.
+	// Naive replaces the steering with a baseline algorithm, for comparison in measurements.
 	Naive bool
 }
 
 // Process is the running process of an entry VM. It is safe for concurrent use.
 type Process struct {
-	cfg      Config
-	vm       cardamompass.VM
-	metrics  *metric.Metrics
-	client   *peer.Client
-	server   *peer.Server
-	members  *member.Agent
-	spread   *spread.Agent[document]
-	pool     *share.Pool
-	tracker  *health.Tracker
-	prober   *health.Prober
-	guard    *guard.Guard
-	arbiter  *guard.Arbiter
-	engine   *engine.Engine
-	opers    *oper.Service
-	table    *oper.Table
-	lookups  *lookup.Resolver
-	recent   *dump.DecisionLog
-	callers  *http.Server
-	callerAt net.Listener
-	operAt   net.Listener
-	leaving  atomic.Bool
-	started  time.Time
-	inForce  atomic.Pointer[inForce]
-	listed   map[string]bool
-	wtg      sync.WaitGroup
-	done     chan struct{}
-	// ready is closed when the first catalogue is in force.
-	ready    chan struct{}
-	cleanups []func()
+	cfg              Config
+	vm               cardamompass.VM
+	metrics          *metric.Metrics
+	client           *peer.Client
+	server           *peer.Server
+	members          *member.Agent
+	spread           *spread.Agent[document]
+	pool             *share.Pool
+	tracker          *health.Tracker
+	prober           *health.Prober
+	guard            *guard.Guard
+	arbiter          *guard.Arbiter
+	engine           *engine.Engine
+	operations       *oper.Service
+	operationTable   *oper.Table
+	lookups          *lookup.Resolver
+	decisions        *dump.DecisionLog
+	callerServer     *http.Server
+	callerListener   net.Listener
+	operatorListener net.Listener
+	leaving          atomic.Bool
+	started          time.Time
+	active           atomic.Pointer[activeCatalogue]
+	listedTargets    map[string]bool
+	wtg              sync.WaitGroup
+	done             chan struct{}
+	// catalogueReady is closed when the first catalogue becomes active.
+	catalogueReady chan struct{}
+	cleanups       []func()
 }
 
-// New starts the process of an entry VM. The cleanup ends it at once, without a planned stop.
+// New starts the process of an entry VM. The cleanup function ends it immediately, without a planned stop.
 func New(cfg Config) (prc *Process, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "start entry VM") }()
 	prc = &Process{
-		cfg:     cfg,
-		started: cfg.Clock.Now(),
-		recent:  dump.NewDecisionLog(recentDecisions),
-		listed:  make(map[string]bool),
-		done:    make(chan struct{}),
-		ready:   make(chan struct{}),
+		cfg:            cfg,
+		started:        cfg.Clock.Now(),
+		decisions:      dump.NewDecisionLog(recentDecisions),
+		listedTargets:  make(map[string]bool),
+		done:           make(chan struct{}),
+		catalogueReady: make(chan struct{}),
 	}
-	prc.inForce.Store(&inForce{})
+	prc.active.Store(&activeCatalogue{})
 	for _, step := range []func() error{
-		prc.listen, prc.makeMetrics, prc.makePeers, prc.makeMembers, prc.makeSteering, prc.makeOperations, prc.register, prc.serve,
+		prc.listen, prc.makeMetrics, prc.makePeerClient, prc.makeMembership, prc.makeSteering, prc.makeOperations, prc.register, prc.serve,
 	} {
 		if err := step(); err != nil {
 			prc.cleanup()
 			return nil, nil, err
 		}
 	}
-	prc.start()
+	prc.startBackground()
 	return prc, prc.cleanup, nil
 }
 
-// cleanup ends all parts in the reverse order of their start.
+// cleanup stops all components in the reverse order of their start.
 func (prc *Process) cleanup() {
 	close(prc.done)
 	for num := len(prc.cleanups) - 1; num >= 0; num-- {
@@ -129,21 +130,21 @@
 
 func (prc *Process) onCleanup(fnc func()) { prc.cleanups = append(prc.cleanups, fnc) }
 
-// listen binds all addresses first, so that a second process on the same VM fails before it takes part in anything, and so
-// that the addresses told to others are known.
+// listen binds all addresses. It runs before any other step, so that a second process on the same VM fails before it
+// joins the membership, and so that the ports are known before the addresses are advertised.
 func (prc *Process) listen() (err error) {
 	set := prc.cfg.Settings
 	ctx := context.Background()
 	lsc := net.ListenConfig{}
-	if prc.callerAt, err = lsc.Listen(ctx, "tcp", set.CallerAddress); err != nil {
+	if prc.callerListener, err = lsc.Listen(ctx, "tcp", set.CallerAddress); err != nil {
 		return err
 	}
-	prc.onCleanup(func() { _ = prc.callerAt.Close() })
-	if prc.operAt, err = lsc.Listen(ctx, "tcp", set.OperatorAddress); err != nil {
+	prc.onCleanup(func() { _ = prc.callerListener.Close() })
+	if prc.operatorListener, err = lsc.Listen(ctx, "tcp", set.OperatorAddress); err != nil {
 		return err
 	}
-	prc.onCleanup(func() { _ = prc.operAt.Close() })
-	peerAt, err := lsc.Listen(ctx, "tcp", set.PeerAddress)
+	prc.onCleanup(func() { _ = prc.operatorListener.Close() })
+	peerListener, err := lsc.Listen(ctx, "tcp", set.PeerAddress)
 	if err != nil {
 		return err
 	}
@@ -152,25 +153,25 @@
 		Incarnation:   cardamompass.Incarnation(prc.started.UnixNano()),
 		Region:        set.Region,
 		FailureDomain: set.FailureDomain,
-		CallerAddress: advertised(set.AdvertiseCallerAddress, prc.callerAt),
-		PeerAddress:   advertised(set.AdvertisePeerAddress, peerAt),
+		CallerAddress: advertisedAddress(set.AdvertiseCallerAddress, prc.callerListener),
+		PeerAddress:   advertisedAddress(set.AdvertisePeerAddress, peerListener),
 	}
 	var stop func()
 	prc.server, stop, err = peer.NewServer(peer.ServerConfig{
-		Listener: peerAt,
+		Listener: peerListener,
 		Key:      set.PeerKey.Reveal(),
 		Logger:   prc.cfg.Log,
 	})
 	if err != nil {
-		_ = peerAt.Close()
+		_ = peerListener.Close()
 		return err
 	}
 	prc.onCleanup(stop)
 	return nil
 }
 
-// advertised returns the configured address, with the port of the listener where the configured one is 0.
-func advertised(address string, lsn net.Listener) string {
+// advertisedAddress returns the configured address, with the port of the listener where the configured one is 0.
+func advertisedAddress(address string, lsn net.Listener) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port != "0" {
 		return address
@@ -194,7 +195,7 @@
 	return nil
 }
 
-func (prc *Process) makePeers() (err error) {
+func (prc *Process) makePeerClient() (err error) {
 	cli, stop, err := peer.NewClient(peer.ClientConfig{
 		Key:    prc.cfg.Settings.PeerKey.Reveal(),
 		Clock:  prc.cfg.Clock,
@@ -208,7 +209,7 @@
 	return nil
 }
 
-func (prc *Process) makeMembers() (err error) {
+func (prc *Process) makeMembership() (err error) {
 	set := prc.cfg.Settings
 	agt, stop, err := member.New(member.Config{
 		Machine: member.MachineConfig{
@@ -300,7 +301,7 @@
 		Pool:         prc.pool,
 		Report:       prc.reportSuspects,
 		Reserve:      prc.reserve,
-		Recent:       prc.recent,
+		Recent:       prc.decisions,
 		Members:      prc.members,
 		HedgePercent: set.Steering.HedgePercent,
 		RetryPercent: set.Steering.RetryPercent,
@@ -310,7 +311,7 @@
 	prc.onCleanup(stop)
 	probes := http.DefaultTransport.(*http.Transport).Clone()
 	probes.Proxy = nil
-	// One connection to each target is kept, however many there are; the default closes all but 100.
+	// Keep one idle connection per target regardless of the number of targets; the default limit is 100 in total.
 	probes.MaxIdleConns = 0
 	probes.MaxIdleConnsPerHost = 1
 	prc.onCleanup(probes.CloseIdleConnections)
@@ -326,7 +327,7 @@
 }
 
 func (prc *Process) makeOperations() (err error) {
-	prc.table, err = oper.NewTable(oper.TableConfig{
+	prc.operationTable, err = oper.NewTable(oper.TableConfig{
 		Self:       prc.vm,
 		Clock:      prc.cfg.Clock,
 		MaxRecords: prc.cfg.Settings.Operations.MaxRecords,
@@ -335,7 +336,7 @@
 		return err
 	}
 	svc, stop, err := oper.New(oper.Config{
-		Table:      prc.table,
+		Table:      prc.operationTable,
 		Membership: prc.members,
 		Peers:      prc.client,
 		Clock:      prc.cfg.Clock,
@@ -344,7 +345,7 @@
 	if err != nil {
 		return err
 	}
-	prc.opers = svc
+	prc.operations = svc
 	prc.onCleanup(stop)
 	prc.lookups = lookup.New(lookup.Config{
 		Clock:         prc.cfg.Clock,
@@ -360,7 +361,7 @@
 		member.ServiceName: prc.members.Service(),
 		spread.ServiceName: prc.spread.Service(),
 		share.ServiceName:  prc.pool.Service(),
-		"Oper":             prc.opers,
+		"Oper":             prc.operations,
 		targetServiceName:  &TargetService{prc: prc},
 	} {
 		if err := prc.server.Register(name, receiver); err != nil {
@@ -370,29 +371,29 @@
 	return nil
 }
 
-// start begins the work that is not an answer to others.
-func (prc *Process) start() {
+// startBackground starts the peer server, the agents and the background loops.
+func (prc *Process) startBackground() {
 	prc.server.Start()
 	prc.members.Start()
 	prc.spread.Start()
 	prc.onCleanup(prc.pool.Start())
-	prc.wtg.Go(prc.follow)
-	prc.wtg.Go(prc.observe)
+	prc.wtg.Go(prc.followUpdates)
+	prc.wtg.Go(prc.updateGauges)
 	if prc.cfg.VMs != nil {
-		prc.wtg.Go(prc.followList)
+		prc.wtg.Go(prc.pollVMList)
 	}
 	prc.cfg.Log.Info("entry VM started",
 		zap.Uint64("incarnation", uint64(prc.vm.Incarnation)),
 		zap.String("caller-address", prc.vm.CallerAddress),
 		zap.String("peer-address", prc.vm.PeerAddress),
-		zap.String("operator-address", prc.operAt.Addr().String()))
+		zap.String("operator-address", prc.operatorListener.Addr().String()))
 }
 
-// VM returns this VM as the membership knows it.
+// VM returns the description of this VM, including its advertised addresses.
 func (prc *Process) VM() cardamompass.VM { return prc.vm }
 
-// OperatorAddress returns the address of the operators' listener.
-func (prc *Process) OperatorAddress() string { return prc.operAt.Addr().String() }
+// OperatorAddress returns the address of the operator listener.
+func (prc *Process) OperatorAddress() string { return prc.operatorListener.Addr().String() }
 
-// Superseded returns a channel that is closed when a later process of the same VM runs.
+// Superseded returns a channel that is closed when a process of the same VM with a later incarnation appears.
 func (prc *Process) Superseded() <-chan struct{} { return prc.members.Superseded() }
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -22,7 +22,7 @@
 
 var errDown = errors.New("store is down")
 
-// downStore is a store that is out of reach.
+// downStore is a store that fails every call.
 type downStore struct{}
 
 func (downStore) Get(context.Context, string) (val cardamompass.Value, err error) {
@@ -51,7 +51,7 @@
 
 func (downStore) Revoke(context.Context, cardamompass.LeaseID) error { return errDown }
 
-func startAlone(t testing.TB) (address string) {
+func startWithoutStore(t testing.TB) (address string) {
 	t.Helper()
 	set, err := config.Parse("test", []byte(`{
 		"vm-id": "vm-1", "region": "gulf", "failure-domain": "a",
@@ -74,7 +74,9 @@
 	return prc.VM().CallerAddress
 }
 
-func outcome(t *testing.T, method, address string, headers map[string]string, body string) (oct cardamompass.Outcome, reason string) {
+func requestOutcome(
+	t *testing.T, method, address string, headers map[string]string, body string,
+) (oct cardamompass.Outcome, reason string) {
 	t.Helper()
 	rqs, err := http.NewRequest(method, "http://"+address, strings.NewReader(body))
 	if err != nil {
@@ -103,10 +105,10 @@
 	return oct, rfs.Reason
 }
 
-// Guards against "not run" for an operation whose earlier sending may have run through another VM: a VM without a catalogue
-// knows nothing of it.
+// Guards against reporting "not run" for an operation of which an earlier attempt may have run through another VM: a VM
+// without a catalogue can't tell.
 func TestWithoutCatalogue(t *testing.T) {
-	address := startAlone(t)
+	address := startWithoutStore(t)
 	tests := []struct {
 		name       string
 		method     string
@@ -115,9 +117,9 @@
 		want       cardamompass.Outcome
 	}{
 		{name: "idempotent", method: "GET", want: cardamompass.OutcomeNotRun},
-		{name: "first sending of an operation", method: "POST", idempotent: "false", attempt: "1", want: cardamompass.OutcomeNotRun},
-		{name: "second sending of an operation", method: "POST", idempotent: "false", attempt: "2", want: cardamompass.OutcomeUnknown},
-		{name: "uncounted sending of an operation", method: "POST", idempotent: "false", want: cardamompass.OutcomeUnknown},
+		{name: "first attempt of an operation", method: "POST", idempotent: "false", attempt: "1", want: cardamompass.OutcomeNotRun},
+		{name: "second attempt of an operation", method: "POST", idempotent: "false", attempt: "2", want: cardamompass.OutcomeUnknown},
+		{name: "uncounted attempt of an operation", method: "POST", idempotent: "false", want: cardamompass.OutcomeUnknown},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
@@ -131,7 +133,7 @@
 			if tst.attempt != "" {
 				headers[cardamompass.HeaderAttempt] = tst.attempt
 			}
-			got, reason := outcome(t, tst.method, address+"/v1/services/kiosk-core/x", headers, "")
+			got, reason := requestOutcome(t, tst.method, address+"/v1/services/kiosk-core/x", headers, "")
 			if got != tst.want {
 				t.Fatalf("outcome %s (%s), want %s", got, reason, tst.want)
 			}
@@ -139,7 +141,7 @@
 	}
 }
 
-// Guards against bad input that is taken for something else, runs, or is refused without a reason.
+// Guards against invalid input that is misinterpreted, run, or refused without a reason.
 func TestBadInput(t *testing.T) {
 	cfg, err := demo.Small(zap.NewNop())
 	if err != nil {
@@ -181,7 +183,7 @@
 			for name, value := range tst.headers {
 				headers[name] = value
 			}
-			got, reason := outcome(t, http.MethodPost, address+tst.path, headers, tst.body)
+			got, reason := requestOutcome(t, http.MethodPost, address+tst.path, headers, tst.body)
 			if got != cardamompass.OutcomeInvalid || !strings.Contains(reason, tst.want) {
 				t.Fatalf("outcome %s, reason %q, want %q in it", got, reason, tst.want)
 			}
@@ -194,9 +196,9 @@
 	}
 }
 
-// Guards against a process that ends, or hangs, on input that is not HTTP or breaks off.
+// Guards against a crash or a hang of the process on input that is not HTTP or is truncated.
 func TestBrokenFraming(t *testing.T) {
-	address := startAlone(t)
+	address := startWithoutStore(t)
 	for _, data := range []string{
 		"\x00\x01\x02\r\n\r\n",
 		"GET / HTTP/1.1\r\nHost",
@@ -218,7 +220,7 @@
 			t.Errorf("%.40q was answered with %.80q", data, answer)
 		}
 	}
-	if got, _ := outcome(t, http.MethodGet, address+"/v1/lookup?service=kiosk-core", nil, ""); got != cardamompass.OutcomeNotRun {
+	if got, _ := requestOutcome(t, http.MethodGet, address+"/v1/lookup?service=kiosk-core", nil, ""); got != cardamompass.OutcomeNotRun {
 		t.Errorf("the VM answers look-ups with %q afterwards", got)
 	}
 }
--- a/internal/edge/entry/fuzz_test.go
+++ b/internal/edge/entry/fuzz_test.go
@@ -21,10 +21,10 @@
 	"cardamompass/internal/stand/demo"
 )
 
-// hangTime is the time after which an exchange counts as hanging. The longest timeout of the demo's short service is 5 s.
-const hangTime = 30 * time.Second
+// exchangeTimeout is the time after which an exchange counts as hung. The longest timeout of the demo's short service is 5 s.
+const exchangeTimeout = 30 * time.Second
 
-// requestSeeds are look-ups, requests and broken input. VM stands for the id of the entry VM in a ticket.
+// requestSeeds are look-ups, requests and malformed input.
 var requestSeeds = []string{
 	"GET /v1/lookup?service=kiosk-core&region=gulf HTTP/1.1\r\nHost: x\r\n\r\n",
 	"GET /v1/lookup?service=kiosk-core&client=192.0.2.1 HTTP/1.0\r\n\r\n",
@@ -57,8 +57,8 @@
 	"",
 }
 
-// startObserved starts an entry VM with its platform. The logs hold the errors of its listeners.
-func startObserved(t testing.TB) (address string, logs *observer.ObservedLogs) {
+// startWithLogs starts an entry VM with its platform and captures its logs, which include the errors of the HTTP servers.
+func startWithLogs(t testing.TB) (address string, logs *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zapcore.InfoLevel)
 	cfg, err := demo.Small(zap.New(core))
@@ -74,7 +74,7 @@
 	return sit.VMs[0].VM().CallerAddress, logs
 }
 
-// exchange sends raw bytes on a new connection, ends its own side, and returns what comes back until the other side ends.
+// exchange sends raw bytes on a new connection, closes its write side, and returns all bytes up to the end of the connection.
 func exchange(t testing.TB, address string, data []byte) (answer []byte) {
 	t.Helper()
 	con, err := net.Dial("tcp", address)
@@ -82,23 +82,24 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = con.Close() }()
-	if err = con.SetDeadline(time.Now().Add(hangTime)); err != nil {
+	if err = con.SetDeadline(time.Now().Add(exchangeTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	// The other side may close while the data is still being written; what it answered before that counts.
+	// The server may close the connection before all data is written; the response that it sent before still counts.
 	if _, err = con.Write(data); err == nil {
 		_ = con.(*net.TCPConn).CloseWrite()
 	}
 	answer, err = io.ReadAll(con)
 	var nerr net.Error
 	if errors.As(err, &nerr) && nerr.Timeout() {
-		t.Fatalf("no end of the connection within %s", hangTime)
+		t.Fatalf("no end of the connection within %s", exchangeTimeout)
 	}
 	return answer
 }
 
-// methods returns the methods of the requests in data as far as they can be read; answers to HEAD have no body.
-func methods(data []byte) (list []string) {
+// requestMethods returns the methods of the requests in data up to the first that cannot be parsed. They are needed to
+// parse the responses, since a response to HEAD has no body.
+func requestMethods(data []byte) (list []string) {
 	rdr := bufio.NewReader(bytes.NewReader(data))
 	for {
 		rqs, err := http.ReadRequest(rdr)
@@ -112,10 +113,10 @@
 	}
 }
 
-// checkAnswers reports what is wrong with the answers to data, "" if nothing is.
-func checkAnswers(data, answer []byte) (fault string) {
+// checkResponses describes the first fault in the responses to data; it returns "" if there is none.
+func checkResponses(data, answer []byte) (fault string) {
 	rdr := bufio.NewReader(bytes.NewReader(answer))
-	sent := methods(data)
+	sent := requestMethods(data)
 	for num := 0; ; {
 		if _, err := rdr.Peek(1); err != nil {
 			return ""
@@ -132,23 +133,23 @@
 		}
 		body, err := io.ReadAll(res.Body)
 		if err != nil {
-			return "" // the connection was closed before the declared end of the answer
+			return "" // the connection was closed before the declared end of the response
 		}
 		if res.StatusCode == http.StatusContinue {
 			continue
 		}
 		num++
-		if fault = checkAnswer(rqs.Method, res, body); fault != "" {
+		if fault = checkResponse(rqs.Method, res, body); fault != "" {
 			return fault
 		}
 		if res.Close && res.Header.Get(cardamompass.HeaderOutcome) == "" {
-			return "" // net/http sends a body with its own refusals of HEAD too; the connection ends after it
+			return "" // net/http sends a body with its own error responses to HEAD too, and then closes the connection
 		}
 	}
 }
 
-// checkAnswer reports what is wrong with one answer.
-func checkAnswer(method string, res *http.Response, body []byte) (fault string) {
+// checkResponse describes the fault of one response; it returns "" if there is none.
+func checkResponse(method string, res *http.Response, body []byte) (fault string) {
 	status := map[cardamompass.Outcome]int{
 		cardamompass.OutcomeNotRun:  http.StatusServiceUnavailable,
 		cardamompass.OutcomeUnknown: http.StatusBadGateway,
@@ -174,7 +175,7 @@
 	case res.StatusCode == http.StatusOK && json.Valid(body) && res.Header.Get("Content-Type") == "application/json":
 		return "" // a look-up or the status of an operation
 	case res.Close && res.StatusCode >= http.StatusBadRequest:
-		return "" // net/http refuses what it cannot read, and closes the connection
+		return "" // net/http rejects requests that it cannot parse, and closes the connection
 	case res.StatusCode == http.StatusOK && method == http.MethodOptions && len(body) == 0:
 		return "" // net/http answers "OPTIONS *" itself
 	case res.StatusCode == http.StatusMethodNotAllowed:
@@ -183,17 +184,17 @@
 	return "has status " + res.Status + " and no outcome"
 }
 
-// Guards against input of callers that ends the process or a handler by a panic, hangs, or gets an answer from which a
-// caller cannot tell the outcome.
+// Guards against caller input that causes a panic in the process or a handler, hangs, or gets a response from which a
+// caller cannot determine the outcome.
 func FuzzRequests(f *testing.F) {
 	for _, seed := range requestSeeds {
 		f.Add([]byte(seed))
 	}
-	address, logs := startObserved(f)
+	address, logs := startWithLogs(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		answer := exchange(t, address, data)
-		if fault := checkAnswers(data, answer); fault != "" {
-			t.Errorf("the answer %s\n%q", fault, answer)
+		if fault := checkResponses(data, answer); fault != "" {
+			t.Errorf("the response %s\n%q", fault, answer)
 		}
 		for _, ent := range logs.TakeAll() {
 			if strings.Contains(ent.Message, "panic") {
@@ -203,9 +204,9 @@
 	})
 }
 
-// Guards against an answer without outcome and reason to a look-up with a method that look-ups do not have.
+// Guards against a response without outcome and reason to a look-up with a wrong method.
 func TestWrongMethod(t *testing.T) {
-	address, _ := startObserved(t)
+	address, _ := startWithLogs(t)
 	for _, path := range []string{"/v1/lookup?service=kiosk-core", "/v1/operations"} {
 		answer := exchange(t, address, []byte("POST "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"))
 		if !bytes.Contains(answer, []byte(cardamompass.HeaderOutcome+": invalid")) {
@@ -214,8 +215,8 @@
 	}
 }
 
-// Guards against a check of the fuzz target that accepts anything.
-func TestCheckAnswers(t *testing.T) {
+// Guards against a checkResponses that accepts faulty responses, since FuzzRequests relies on it.
+func TestCheckResponses(t *testing.T) {
 	tests := []struct {
 		name   string
 		sent   string
@@ -236,7 +237,7 @@
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			if fault := checkAnswers([]byte(tst.sent), []byte(tst.answer)); (fault != "") != tst.bad {
+			if fault := checkResponses([]byte(tst.sent), []byte(tst.answer)); (fault != "") != tst.bad {
 				t.Errorf("fault %q", fault)
 			}
 		})
--- a/internal/edge/entry/observe.go
+++ b/internal/edge/entry/gauges.go
@@ -9,22 +9,22 @@
 	"cardamompass/internal/fleet/share"
 )
 
-// observeInterval is the time between two updates of the gauges.
-const observeInterval = 2 * time.Second
+// gaugeInterval is the time between two updates of the gauges.
+const gaugeInterval = 2 * time.Second
 
-// observe keeps the gauges of the scrape page up to date.
-func (prc *Process) observe() {
+// updateGauges updates all gauges periodically until the process stops.
+func (prc *Process) updateGauges() {
 	for {
-		tmr := prc.cfg.Clock.NewTimer(observeInterval)
+		tmr := prc.cfg.Clock.NewTimer(gaugeInterval)
 		select {
 		case <-prc.done:
 			tmr.Stop()
 			return
 		case <-tmr.C():
 		}
-		prc.gaugeMembers()
-		prc.gaugeShares()
-		prc.gaugeRequests()
+		prc.updateMemberGauges()
+		prc.updateShareGauges()
+		prc.updateRequestGauges()
 	}
 }
 
@@ -32,8 +32,8 @@
 	return prc.metrics.Scope().Tagged(tags)
 }
 
-// gaugeMembers shows the number of entry VMs in each state and the age of the catalogue in force.
-func (prc *Process) gaugeMembers() {
+// updateMemberGauges reports the number of entry VMs in each state and the age of the active catalogue.
+func (prc *Process) updateMemberGauges() {
 	counts := make(map[cardamompass.MemberState]int)
 	for _, mbr := range prc.members.Members() {
 		counts[mbr.State]++
@@ -43,13 +43,14 @@
 			"state": state.String(),
 		}).Gauge("members").Update(float64(counts[state]))
 	}
-	if cur := prc.inForce.Load(); cur.cat != nil {
+	if cur := prc.active.Load(); cur.cat != nil {
 		prc.metrics.Scope().Gauge("catalogue-in-force-seconds").Update(prc.cfg.Clock.Now().Sub(cur.since).Seconds())
 	}
 }
 
-// gaugeShares shows what this VM owns, may use and uses of each cap. The headroom of a region is what is left of its slots.
-func (prc *Process) gaugeShares() {
+// updateShareGauges reports the units of each shared resource that this VM owns, may use and has in use. The headroom is
+// the number of usable units that are not in use.
+func (prc *Process) updateShareGauges() {
 	sta := prc.pool.State()
 	for _, res := range sta.Resources {
 		scope := prc.tagged(map[string]string{
@@ -60,10 +61,10 @@
 		scope.Gauge("share-in-use").Update(float64(res.InUse))
 		scope.Gauge("share-headroom").Update(float64(max(0, res.Usable-res.InUse)))
 	}
-	prc.metrics.Scope().Gauge("share-lease-seconds-left").Update(leaseLeft(sta).Seconds())
+	prc.metrics.Scope().Gauge("share-lease-seconds-left").Update(leaseTimeLeft(sta).Seconds())
 }
 
-func leaseLeft(sta share.State) time.Duration {
+func leaseTimeLeft(sta share.State) time.Duration {
 	left, err := time.ParseDuration(sta.LeaseTimeLeft)
 	if err != nil {
 		return 0
@@ -71,8 +72,9 @@
 	return left
 }
 
-// gaugeRequests shows the waiting requests, the operation records, the suspects and the traffic with other entry VMs.
-func (prc *Process) gaugeRequests() {
+// updateRequestGauges reports the waiting requests, the dropped log lines, the operation records, the suspect and blocked
+// contents, and the traffic with other entry VMs.
+func (prc *Process) updateRequestGauges() {
 	for name, waiting := range prc.engine.Waiting() {
 		prc.tagged(map[string]string{
 			"service": string(name),
@@ -82,7 +84,7 @@
 	if prc.cfg.LinesDropped != nil {
 		root.Gauge("log-lines-dropped").Update(float64(prc.cfg.LinesDropped()))
 	}
-	stats := prc.table.Stats()
+	stats := prc.operationTable.Stats()
 	root.Gauge("operation-records").Update(float64(stats.Records))
 	root.Gauge("operations-running").Update(float64(stats.Running))
 	blocked := 0
--- a/internal/edge/entry/operator.go
+++ b/internal/edge/entry/operator.go
@@ -47,14 +47,14 @@
 	Targets []TargetState            `json:"targets"`
 }
 
-// CatalogueState is the catalogue in force in a state dump.
+// CatalogueState is the active catalogue in a state dump.
 type CatalogueState struct {
 	Version uint64 `json:"version"`
 	Digest  uint64 `json:"digest"`
 	Since   string `json:"in-force-since"`
 }
 
-// SuspectState is a content that is suspected of crashing its targets, or blocked.
+// SuspectState is a request content that is suspected of crashing targets, or blocked for it, in a state dump.
 type SuspectState struct {
 	Content  string `json:"content"`
 	Blocked  bool   `json:"blocked"`
@@ -101,23 +101,23 @@
 	_ = enc.Encode(value)
 }
 
-// Decisions returns the recent decisions about a request, all recent ones for an empty id.
+// Decisions returns the recent routing decisions for a request, or all recent ones for an empty id.
 func (prc *Process) Decisions(rid cardamompass.RequestID) []dump.Decision {
-	return prc.recent.Find(rid)
+	return prc.decisions.Find(rid)
 }
 
-// State returns the state dump. It holds no secret.
+// State returns the state dump. It contains no secrets.
 func (prc *Process) State() (sta State) {
 	now := prc.cfg.Clock.Now()
-	cur := prc.inForce.Load()
+	cur := prc.active.Load()
 	sta = State{
 		VM:         memberState(prc.members.Self()),
 		Started:    prc.started,
 		Leaving:    prc.leaving.Load(),
 		Shares:     prc.pool.State(),
-		Suspects:   suspects(prc.guard.Entries(now), now),
-		Operations: prc.table.Stats(),
-		Recent:     len(prc.recent.Find("")),
+		Suspects:   suspectStates(prc.guard.Entries(now), now),
+		Operations: prc.operationTable.Stats(),
+		Recent:     len(prc.decisions.Find("")),
 		Traffic: TrafficState{
 			Sent:     prc.client.Traffic(),
 			Received: prc.server.Traffic(),
@@ -177,7 +177,7 @@
 	return sta
 }
 
-func suspects(entries []guard.Entry, now time.Time) (list []SuspectState) {
+func suspectStates(entries []guard.Entry, now time.Time) (list []SuspectState) {
 	for _, ent := range entries {
 		list = append(list, SuspectState{
 			Content:  ent.Key.String(),
--- a/internal/edge/entry/request.go
+++ b/internal/edge/entry/request.go
@@ -22,16 +22,16 @@
 	maxIDBytes = 128
 	// servicesPrefix is the path before a service's name.
 	servicesPrefix = "/v1/services/"
-	// headerPrefix marks the headers of the interface, which are not passed on.
+	// headerPrefix is the prefix of the headers that are addressed to the entry VM and not forwarded.
 	headerPrefix = "Cardamompass-"
-	// serviceField is the field of the error for a service that is not in the catalogue.
+	// serviceField is the Field of the InvalidError for a service that is not in the catalogue.
 	serviceField = "service"
-	// firstCatalogueWait bounds the wait of a request for the first catalogue. Others name a VM that has started in
-	// look-ups at once, and it gets the catalogue from them with the next probes, which are 500 ms apart.
+	// firstCatalogueWait is the longest time that a request waits for the first catalogue. Other VMs list a new VM in
+	// look-up responses at once, and it receives the catalogue with their next membership probes, every 500 ms.
 	firstCatalogueWait = 2 * time.Second
 )
 
-// readRequest makes a Request from a caller's HTTP request. Errors: InvalidError, NotRunError while there is no catalogue.
+// readRequest parses a caller's HTTP request. Errors: InvalidError, and NotRunError while there is no catalogue.
 func (prc *Process) readRequest(rqs *http.Request) (req cardamompass.Request, err error) {
 	arrived := time.Now()
 	req = cardamompass.Request{
@@ -53,25 +53,25 @@
 	if err != nil {
 		return req, err
 	}
-	if err := prc.readControl(rqs, arrived, svc, &req); err != nil {
+	if err := prc.readControlHeaders(rqs, arrived, svc, &req); err != nil {
 		return req, err
 	}
-	req.Header = passedOn(rqs.Header)
+	req.Header = forwardedHeaders(rqs.Header)
 	req.Body, err = readBody(rqs, min(svc.MaxBodyBytes, prc.cfg.Settings.Limits.MaxBody))
 	return req, err
 }
 
-// awaitCatalogue waits until the first catalogue is in force, or ctx or the bound ends.
+// awaitCatalogue waits until the first catalogue is active, ctx ends, the process stops, or firstCatalogueWait has passed.
 func (prc *Process) awaitCatalogue(ctx context.Context) {
 	select {
-	case <-prc.ready:
+	case <-prc.catalogueReady:
 		return
 	default:
 	}
 	ctx, cancel := context.WithTimeout(ctx, firstCatalogueWait)
 	defer cancel()
 	select {
-	case <-prc.ready:
+	case <-prc.catalogueReady:
 	case <-prc.done:
 	case <-ctx.Done():
 	}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// readControl reads the headers that say how the request is to be run.
-func (prc *Process) readControl(
+// readControlHeaders parses the deadline, idempotence, attempt and caller region of the request.
+func (prc *Process) readControlHeaders(
 	rqs *http.Request, arrived time.Time, svc cardamompass.Service, req *cardamompass.Request,
 ) (err error) {
 	timeout, err := readTimeout(rqs.Header.Get(cardamompass.HeaderTimeout), svc.MaxTimeout)
@@ -122,22 +122,23 @@
 	return err
 }
 
-// declaredIdempotent reports whether the caller says that the request may run more than once. GET and HEAD need no word.
+// declaredIdempotent reports whether the request may run more than once according to its header. Without the header, GET
+// and HEAD are idempotent.
 func declaredIdempotent(rqs *http.Request) bool {
 	text := rqs.Header.Get(cardamompass.HeaderIdempotent)
 	return text == "true" || text == "" && (rqs.Method == http.MethodGet || rqs.Method == http.MethodHead)
 }
 
-// readTimeout returns the caller's timeout, the service's longest one if the caller gave none.
-func readTimeout(text string, longest time.Duration) (timeout time.Duration, err error) {
+// readTimeout parses the caller's timeout and returns maxTimeout if text is empty.
+func readTimeout(text string, maxTimeout time.Duration) (timeout time.Duration, err error) {
 	if text == "" {
-		return longest, nil
+		return maxTimeout, nil
 	}
 	millis, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || millis < 1 || millis > longest.Milliseconds() {
+	if err != nil || millis < 1 || millis > maxTimeout.Milliseconds() {
 		return 0, &cardamompass.InvalidError{
 			Field:  cardamompass.HeaderTimeout,
-			Reason: "must be from 1 to " + strconv.FormatInt(longest.Milliseconds(), 10) + " ms for this service",
+			Reason: "must be from 1 to " + strconv.FormatInt(maxTimeout.Milliseconds(), 10) + " ms for this service",
 		}
 	}
 	return time.Duration(millis) * time.Millisecond, nil
@@ -152,8 +153,8 @@
 	return addr
 }
 
-// passedOn returns the headers that go to the target.
-func passedOn(from http.Header) http.Header {
+// forwardedHeaders returns the headers that are forwarded to the target.
+func forwardedHeaders(from http.Header) http.Header {
 	kept := make(http.Header, len(from))
 	for name, values := range from {
 		if !strings.HasPrefix(textproto.CanonicalMIMEHeaderKey(name), headerPrefix) {
@@ -168,23 +169,23 @@
 		return nil, nil
 	}
 	if rqs.ContentLength > limit {
-		return nil, tooLarge(limit)
+		return nil, bodyTooLarge(limit)
 	}
 	body, err = io.ReadAll(http.MaxBytesReader(nil, rqs.Body, limit))
 	var mbe *http.MaxBytesError
 	switch {
 	case errors.As(err, &mbe):
-		return nil, tooLarge(limit)
+		return nil, bodyTooLarge(limit)
 	case err != nil:
 		return nil, &cardamompass.InvalidError{
 			Field:  "body",
-			Reason: "ended early or is not framed correctly: " + err.Error(),
+			Reason: "is truncated or has invalid framing: " + err.Error(),
 		}
 	}
 	return body, nil
 }
 
-func tooLarge(limit int64) error {
+func bodyTooLarge(limit int64) error {
 	return &cardamompass.InvalidError{
 		Field:  "body",
 		Reason: "must have at most " + strconv.FormatInt(limit, 10) + " bytes",
--- a/internal/edge/entry/stop.go
+++ b/internal/edge/entry/stop.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// announceTime is the time after which all other entry VMs know that this one leaves, and name it no more in look-ups.
-	announceTime = 3 * time.Second
-	// operationDrain bounds the wait for operations that run when this VM closes for new ones.
-	operationDrain = 30 * time.Second
-	// leaveTimeout bounds the farewell to the membership.
+	// leavingPropagationTime is the time after which all other entry VMs have received the announcement that this VM is
+	// leaving and no longer list it in look-up responses.
+	leavingPropagationTime = 3 * time.Second
+	// operationDrainTimeout bounds the wait for running operations once the VM has stopped accepting new ones.
+	operationDrainTimeout = 30 * time.Second
+	// leaveTimeout bounds the call that announces the departure to the membership.
 	leaveTimeout = 2 * time.Second
 )
 
-// Stop makes a planned stop. It returns when all requests have ended, or with an error when ctx ends first. The process has to
-// be cleaned up afterwards.
+// Stop performs a planned stop. It returns when all requests have ended, or an error if ctx ends first. The cleanup
+// function of New must be called afterwards.
 func (prc *Process) Stop(ctx context.Context) (err error) {
 	prc.cfg.Log.Info("planned stop begins")
 	prc.leaving.Store(true)
 	prc.members.AnnounceLeaving()
 	prc.pool.StopLending()
 	prc.refreshLookups()
-	// An answer that names this VM may be given until the announcement is everywhere, and is used for its max-age after that.
-	_ = cardamompass.Sleep(ctx, prc.cfg.Clock, prc.cfg.Settings.LookupMaxAge+announceTime) // a stop that must hurry goes on
+	// Other VMs may return look-up responses that name this VM until the announcement has reached all of them, and callers
+	// use such a response until its max-age ends. If ctx ends first, the stop continues without the rest of the wait.
+	_ = cardamompass.Sleep(ctx, prc.cfg.Clock, prc.cfg.Settings.LookupMaxAge+leavingPropagationTime)
 	successor, ok := prc.successor()
 	if ok {
-		if herr := prc.opers.TransferRecords(ctx, successor, operationDrain); herr != nil {
+		if herr := prc.operations.TransferRecords(ctx, successor, operationDrainTimeout); herr != nil {
 			prc.cfg.Log.Warn("operation records not handed over", zap.String("successor", string(successor.ID)), zap.Error(herr))
 		}
 	}
-	err = prc.callers.Shutdown(ctx)
+	err = prc.callerServer.Shutdown(ctx)
 	if rerr := prc.pool.Release(ctx); rerr != nil {
 		prc.cfg.Log.Warn("units not released", zap.Error(rerr))
 	}
@@ -47,8 +49,8 @@
 	return err
 }
 
-// successor returns the VM that takes over this VM's operation records: an alive one, of the same region if there is one,
-// and there of another failure domain if there is one.
+// successor returns the VM that takes over this VM's operation records: an alive VM, preferring first the same
+// region and then another failure domain.
 func (prc *Process) successor() (vmr cardamompass.VM, ok bool) {
 	best := -1
 	for _, mbr := range prc.members.Members() {
--- a/internal/edge/entry/follow.go
+++ b/internal/edge/entry/updates.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// listInterval is the time between two reads of the platform's VM list.
-	listInterval = time.Second
-	listTimeout  = 2 * time.Second
+	// vmListInterval is the polling interval of the platform's VM list.
+	vmListInterval = time.Second
+	vmListTimeout  = 2 * time.Second
 )
 
-// document makes a catalogue document a spread.Doc.
+// document adapts a catalogue document to spread.Doc.
 type document struct{ doc *catlg.Document }
 
 func (dcm document) Merge(oth document) document {
@@ -55,30 +55,30 @@
 	}
 }
 
-// inForce is the catalogue in force.
-type inForce struct {
+// activeCatalogue is the catalogue that look-ups and routing currently use.
+type activeCatalogue struct {
 	cat   *catlg.Catalogue
 	since time.Time
-	// blocks is kept while the client blocks of the catalogue stay the same.
+	// blocks is reused by the next catalogue if its client blocks are the same.
 	blocks *lookup.Table
 }
 
-// follow puts each catalogue in force and keeps look-ups in step with the membership.
-func (prc *Process) follow() {
+// followUpdates activates each new catalogue and applies changes of the membership until the process stops.
+func (prc *Process) followUpdates() {
 	docs, stopDocs := prc.spread.Subscribe()
 	defer stopDocs()
 	members, stopMembers := prc.members.Subscribe()
 	defer stopMembers()
-	prc.putInForce()
+	prc.activateCatalogue()
 	for {
 		select {
 		case <-prc.done:
 			return
 		case <-docs:
-			prc.putInForce()
+			prc.activateCatalogue()
 		case <-members:
 			for _, mbr := range prc.members.Members() {
-				prc.opers.RecordDeparture(mbr)
+				prc.operations.RecordDeparture(mbr)
 			}
 			prc.refreshLookups()
 			prc.engine.MembersChanged()
@@ -89,48 +89,49 @@
 	}
 }
 
-func (prc *Process) putInForce() {
+func (prc *Process) activateCatalogue() {
 	dcm, ok := prc.spread.Current()
 	if !ok {
 		return
 	}
-	old := prc.inForce.Load()
+	old := prc.active.Load()
 	if old.cat != nil && old.cat.Document().Digest() == dcm.doc.Digest() {
 		return
 	}
 	cat := catlg.NewCatalogue(dcm.doc)
 	blocks := old.blocks
-	if old.cat == nil || !sameBlocks(old.cat, cat) {
-		table, err := blockTable(cat)
+	if old.cat == nil || !sameClientBlocks(old.cat, cat) {
+		table, err := clientBlockTable(cat)
 		if err != nil {
 			prc.cfg.Log.Error("client blocks not usable; the earlier ones stay", zap.Error(err))
 		} else {
 			blocks = table
 		}
 	}
-	prc.inForce.Store(&inForce{
+	prc.active.Store(&activeCatalogue{
 		cat:    cat,
 		since:  prc.cfg.Clock.Now(),
 		blocks: blocks,
 	})
-	// Look-ups know the regions before the engine admits requests, which would otherwise be refused as invalid.
+	// Look-ups get the regions before the engine admits requests; otherwise the caller regions of these requests would be
+	// rejected as invalid.
 	prc.refreshLookups()
 	prc.engine.SetCatalogue(cat)
 	prc.prober.SetTargets(prc.engine.Targets())
 	if old.cat == nil {
-		close(prc.ready)
+		close(prc.catalogueReady)
 	}
 	prc.metrics.Scope().Gauge("catalogue-version").Update(float64(cat.Version()))
 	prc.cfg.Log.Info("catalogue in force", zap.Uint64("version", cat.Version()), zap.Int("targets", len(cat.Targets())))
 }
 
-func sameBlocks(one, two *catlg.Catalogue) bool {
+func sameClientBlocks(one, two *catlg.Catalogue) bool {
 	return slices.EqualFunc(one.Clients(), two.Clients(), func(cl1, cl2 cardamompass.ClientBlocks) bool {
 		return cl1.Region == cl2.Region && slices.Equal(cl1.Prefixes, cl2.Prefixes)
 	})
 }
 
-func blockTable(cat *catlg.Catalogue) (tbl *lookup.Table, err error) {
+func clientBlockTable(cat *catlg.Catalogue) (tbl *lookup.Table, err error) {
 	var blocks []lookup.Block
 	for _, cls := range cat.Clients() {
 		for _, pfx := range cls.Prefixes {
@@ -143,9 +144,9 @@
 	return lookup.NewTable(blocks)
 }
 
-// refreshLookups makes look-ups answer from the members and the catalogue of now.
+// refreshLookups rebuilds the view of the look-up resolver from the current members and the active catalogue.
 func (prc *Process) refreshLookups() {
-	cur := prc.inForce.Load()
+	cur := prc.active.Load()
 	if cur.cat == nil {
 		return
 	}
@@ -165,30 +166,30 @@
 	prc.lookups.SetView(view)
 }
 
-// followList reads the platform's VM list. It is a hint only: a listed entry VM is probed, a target that is listed as
-// leaving, or that was listed and is not any more, gets no new work.
-func (prc *Process) followList() {
+// pollVMList reads the platform's VM list periodically. The list is only a hint: a listed entry VM is probed before it
+// is used, and a target that is listed as leaving, or that has disappeared from the list, gets no new requests.
+func (prc *Process) pollVMList() {
 	for {
-		tmr := prc.cfg.Clock.NewTimer(listInterval)
+		tmr := prc.cfg.Clock.NewTimer(vmListInterval)
 		select {
 		case <-prc.done:
 			tmr.Stop()
 			return
 		case <-tmr.C():
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), vmListTimeout)
 		vms, _, err := prc.cfg.VMs.List(ctx)
 		cancel()
 		if err != nil {
 			prc.cfg.Log.Warn("VM list not read", zap.Error(err))
 			continue
 		}
-		prc.useList(vms)
+		prc.applyVMList(vms)
 	}
 }
 
-func (prc *Process) useList(vms []cardamompass.ListedVM) {
-	cur := prc.inForce.Load()
+func (prc *Process) applyVMList(vms []cardamompass.ListedVM) {
+	cur := prc.active.Load()
 	if cur.cat == nil {
 		return
 	}
@@ -201,12 +202,12 @@
 			continue
 		}
 		seen[lvm.Name] = true
-		prc.listed[lvm.Name] = true
+		prc.listedTargets[lvm.Name] = true
 		if lvm.Leaving {
 			prc.tracker.MarkLeaving(cardamompass.TargetID(lvm.Name), health.SignalVMList, now)
 		}
 	}
-	for name := range prc.listed {
+	for name := range prc.listedTargets {
 		if !seen[name] {
 			prc.tracker.MarkLeaving(cardamompass.TargetID(name), health.SignalVMList, now)
 		}
