--- a/internal/edge/oper/bench_test.go
+++ b/internal/edge/oper/bench_test.go
@@ -11,8 +11,8 @@
 	"cardamompass/internal/edge/oper"
 )
 
-// BenchmarkRecords measures the memory and the time of a record, by the number that a home holds. kept is the size of
-// the answer's body; the answers of all records together are bounded.
+// BenchmarkRecords measures the memory and the time per record by the number of records. kept is the size of the stored
+// response body; the total size of the stored responses is bounded.
 func BenchmarkRecords(b *testing.B) {
 	for _, kept := range []int{0, 64} {
 		for _, count := range []int{1_000, 10_000, 100_000, 200_000} {
@@ -77,7 +77,7 @@
 	return mst.HeapAlloc
 }
 
-// BenchmarkExport measures the handover of a planned stop: its parts and their number.
+// BenchmarkExport measures the export of all records at a planned stop, and the number of its chunks.
 func BenchmarkExport(b *testing.B) {
 	for _, count := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("records=%d", count), func(b *testing.B) {
--- a/internal/edge/oper/handover.go
+++ b/internal/edge/oper/handover.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// MaxChunkBytes bounds one message of a handover.
+	// MaxChunkBytes bounds the encoded size of a Chunk.
 	MaxChunkBytes = 256 << 10
 
-	// partBytes is the estimated size at which a part is closed; the difference covers the codec's framing.
-	partBytes = MaxChunkBytes - 16<<10
-	// entryBytes and valueBytes estimate the framing of one record and of one header value.
+	// chunkBytes is the estimated size at which a chunk is full; the difference to MaxChunkBytes covers the framing of the codec.
+	chunkBytes = MaxChunkBytes - 16<<10
+	// entryBytes and valueBytes are the estimated framing overhead of one record and of one header value.
 	entryBytes = 256
 	valueBytes = 16
 )
@@ -21,14 +21,14 @@
 type Chunk struct {
 	Home        cardamompass.VMID
 	Incarnation cardamompass.Incarnation
-	// Export tells the parts of one export from those of another.
+	// Export identifies the export that the chunk belongs to.
 	Export int64
-	// Index counts the parts from 0 to Count-1.
+	// Index is the position of the chunk among the Count chunks of its export, from 0.
 	Index int
 	Count int
-	// Partial is set when the sender itself holds only a part of the incarnation's records.
+	// Partial is set when the sender itself holds only some of the incarnation's records.
 	Partial bool
-	// HomeMs is the incarnation's own time at the export, in milliseconds since the Unix epoch.
+	// HomeMs is the time of the export by the incarnation's clock, in milliseconds since the Unix epoch.
 	HomeMs  int64
 	Entries []Entry
 }
@@ -40,68 +40,68 @@
 	Outcome   Outcome
 }
 
-func (prt Chunk) run() runID {
-	return runID{
-		home:        prt.Home,
-		incarnation: prt.Incarnation,
+func (chk Chunk) homeID() homeID {
+	return homeID{
+		home:        chk.Home,
+		incarnation: chk.Incarnation,
 	}
 }
 
-// export returns all records for a successor. Operations that still run are handed over as unknown. Records of
-// operations that did not run are left out: the successor answers not-run for what it does not hold.
-func (mch *machine) export(now time.Duration) (prs []Chunk) {
+// export returns all records for a successor. Operations that are still running are exported as unknown. Records of
+// operations that did not run are omitted: the successor answers not-run for operations of which it has no record.
+func (mch *machine) export(now time.Duration) (chs []Chunk) {
 	mch.expire(now)
-	byRun := map[runID][]Entry{}
+	byHome := map[homeID][]Entry{}
 	for opn, rec := range mch.records {
 		oct := rec.outcome
 		if oct.State == StateRunning {
-			oct = unknown("the home left while the operation ran")
+			oct = unknown("the home left while the operation was running")
 		}
 		if oct.State == StateNotRun {
 			continue
 		}
-		byRun[opn.Ticket.run()] = append(byRun[opn.Ticket.run()], Entry{
+		byHome[opn.Ticket.homeID()] = append(byHome[opn.Ticket.homeID()], Entry{
 			Operation: opn,
 			Hash:      rec.hash,
 			Outcome:   oct,
 		})
 	}
-	prs = cut(byRun[mch.self], Chunk{
+	chs = splitChunks(byHome[mch.self], Chunk{
 		Home:        mch.self.home,
 		Incarnation: mch.self.incarnation,
 		Export:      int64(now),
 		HomeMs:      mch.homeTime(now),
 	})
-	for run, fgn := range mch.imported {
-		prs = append(prs, cut(byRun[run], Chunk{
-			Home:        run.home,
-			Incarnation: run.incarnation,
+	for hid, imp := range mch.imported {
+		chs = append(chs, splitChunks(byHome[hid], Chunk{
+			Home:        hid.home,
+			Incarnation: hid.incarnation,
 			Export:      int64(now),
-			Partial:     !fgn.whole,
-			HomeMs:      fgn.time(now),
+			Partial:     !imp.complete,
+			HomeMs:      imp.time(now),
 		})...)
 	}
-	return prs
+	return chs
 }
 
-// cut distributes entries over as many copies of the empty part as needed, one at least.
-func cut(entries []Entry, empty Chunk) (prs []Chunk) {
-	prt, size := empty, 0
+// splitChunks distributes entries over copies of the empty chunk, at least one.
+func splitChunks(entries []Entry, empty Chunk) (chs []Chunk) {
+	chk, size := empty, 0
 	for _, ent := range entries {
 		bytes := ent.size()
-		if size > 0 && size+bytes > partBytes {
-			prs = append(prs, prt)
-			prt, size = empty, 0
+		if size > 0 && size+bytes > chunkBytes {
+			chs = append(chs, chk)
+			chk, size = empty, 0
 		}
-		prt.Entries = append(prt.Entries, ent)
+		chk.Entries = append(chk.Entries, ent)
 		size += bytes
 	}
-	prs = append(prs, prt)
-	for idx := range prs {
-		prs[idx].Index = idx
-		prs[idx].Count = len(prs)
+	chs = append(chs, chk)
+	for idx := range chs {
+		chs[idx].Index = idx
+		chs[idx].Count = len(chs)
 	}
-	return prs
+	return chs
 }
 
 func (ent Entry) size() (bytes int) {
@@ -113,42 +113,42 @@
 	return bytes
 }
 
-func (fgn *foreign) time(now time.Duration) (ms int64) {
-	return fgn.homeMs + (now - fgn.at).Milliseconds()
+func (imp *importedHome) time(now time.Duration) (ms int64) {
+	return imp.homeMs + (now - imp.receivedAt).Milliseconds()
 }
 
-// take imports one part. It may be repeated. reason is set when the part is refused.
-func (mch *machine) take(now time.Duration, prt Chunk) (reason string) {
+// importChunk imports one chunk. It is idempotent. reason is set when the chunk is refused.
+func (mch *machine) importChunk(now time.Duration, chk Chunk) (reason string) {
 	mch.expire(now)
-	run := prt.run()
+	hid := chk.homeID()
 	added := 0
-	for _, ent := range prt.Entries {
+	for _, ent := range chk.Entries {
 		if _, held := mch.records[ent.Operation]; !held {
 			added++
 		}
-		if ent.Operation.Ticket.run() != run {
-			return "a record belongs to another incarnation than its part"
+		if ent.Operation.Ticket.homeID() != hid {
+			return "a record belongs to another incarnation than its chunk"
 		}
 	}
 	switch {
-	case run == mch.self:
-		return "the successor is the incarnation that left"
+	case hid == mch.self:
+		return "the receiver is the home of the records itself"
 	case mch.closed:
-		return "the successor is leaving too"
-	case prt.Index < 0 || prt.Index >= prt.Count:
-		return "the part's index is out of range"
+		return "the successor is leaving as well"
+	case chk.Index < 0 || chk.Index >= chk.Count:
+		return "the chunk's index is out of range"
 	case len(mch.records)+added > mch.limits.records:
-		return "the successor holds as many records as it may"
+		return "the successor has reached its record limit"
 	}
-	for _, ent := range prt.Entries {
-		mch.adopt(now, ent)
+	for _, ent := range chk.Entries {
+		mch.importRecord(now, ent)
 	}
-	mch.count(now, run, prt)
+	mch.recordChunk(now, hid, chk)
 	return ""
 }
 
-// adopt stores an imported record, unless it is held with an outcome that is at least as certain.
-func (mch *machine) adopt(now time.Duration, ent Entry) {
+// importRecord stores an imported record, unless a record with an outcome that is at least as certain exists.
+func (mch *machine) importRecord(now time.Duration, ent Entry) {
 	rec, held := mch.records[ent.Operation]
 	if held && (rec.outcome.State != StateUnknown || ent.Outcome.State == StateUnknown) {
 		return
@@ -158,28 +158,28 @@
 		hash:      ent.Hash,
 	}
 	mch.records[ent.Operation] = rec
-	mch.settle(now, rec, ent.Outcome)
+	mch.complete(now, rec, ent.Outcome)
 }
 
-// count notes that a part arrived. The home's time never goes back, so that no expired ticket becomes valid again.
-func (mch *machine) count(now time.Duration, run runID, prt Chunk) {
-	fgn := mch.imported[run]
-	if fgn == nil {
-		fgn = &foreign{
-			export: prt.Export,
-			seen:   make(map[int]bool),
+// recordChunk records the receipt of a chunk. The home's time never goes back, so that no expired ticket becomes valid again.
+func (mch *machine) recordChunk(now time.Duration, hid homeID, chk Chunk) {
+	imp := mch.imported[hid]
+	if imp == nil {
+		imp = &importedHome{
+			export:   chk.Export,
+			received: make(map[int]bool),
 		}
-		mch.imported[run] = fgn
+		mch.imported[hid] = imp
 	}
-	if fgn.at == 0 || prt.HomeMs > fgn.time(now) {
-		fgn.homeMs, fgn.at = prt.HomeMs, now
+	if imp.receivedAt == 0 || chk.HomeMs > imp.time(now) {
+		imp.homeMs, imp.receivedAt = chk.HomeMs, now
 	}
-	if prt.Export > fgn.export {
-		fgn.export = prt.Export
-		fgn.seen = make(map[int]bool)
+	if chk.Export > imp.export {
+		imp.export = chk.Export
+		imp.received = make(map[int]bool)
 	}
-	if prt.Export == fgn.export && !prt.Partial {
-		fgn.seen[prt.Index] = true
-		fgn.whole = fgn.whole || len(fgn.seen) == prt.Count
+	if chk.Export == imp.export && !chk.Partial {
+		imp.received[chk.Index] = true
+		imp.complete = imp.complete || len(imp.received) == chk.Count
 	}
 }
--- a/internal/edge/oper/outcome.go
+++ b/internal/edge/oper/outcome.go
@@ -9,20 +9,20 @@
 	"cardamompass"
 )
 
-// MaxRecordResponseBytes bounds the answer that a record keeps, body and header together.
+// MaxRecordResponseBytes bounds the response that a record stores, body and header together.
 const MaxRecordResponseBytes = 64 << 10
 
-// State is what became of an operation.
+// State is the state of an operation.
 type State int
 
 const (
-	// StateAbsent is an operation that no record is held of, and that may still arrive.
+	// StateAbsent is an operation without a record, which may still arrive.
 	StateAbsent State = iota
-	// StateRunning is an operation whose outcome is not known yet.
+	// StateRunning is an operation that is running.
 	StateRunning
-	// StateAnswered is an operation whose answer is held.
+	// StateAnswered is an operation whose response is stored.
 	StateAnswered
-	// StateRan is an operation that ran and whose answer is no longer held.
+	// StateRan is an operation that ran and whose response is not stored.
 	StateRan
 	// StateNotRun is an operation that did not run. It may run if the caller sends it again.
 	StateNotRun
@@ -50,7 +50,7 @@
 	}
 }
 
-// Outcome is what became of an operation, with the whole answer if there is one. It is immutable.
+// Outcome is the outcome of an operation, with the complete response if it is stored. It is immutable.
 type Outcome struct {
 	State  State
 	Status int
@@ -62,19 +62,19 @@
 	Field  string // set for an operation that did not run because it is malformed or not allowed
 }
 
-// RanError reports an operation that ran and whose answer is no longer held.
+// RanError reports an operation that ran and whose response is not stored.
 type RanError struct {
-	// Status is the status of the answer.
+	// Status is the HTTP status of the response.
 	Status int
-	// Target produced the answer.
+	// Target is the target that produced the response.
 	Target cardamompass.TargetID
 }
 
 func (err *RanError) Error() string {
-	return fmt.Sprintf("operation ran with status %d; its answer is no longer held", err.Status)
+	return fmt.Sprintf("operation ran with status %d; its response is no longer stored", err.Status)
 }
 
-// Err returns the typed error of the outcome, nil for an operation whose answer is held.
+// Err returns the outcome as a typed error, nil for StateAnswered.
 func (oct Outcome) Err() (err error) {
 	if oct.State == StateNotRun && oct.Field != "" {
 		return &cardamompass.InvalidError{
@@ -104,7 +104,7 @@
 	}
 }
 
-// size is the number of bytes that the outcome's answer occupies.
+// size returns the size of the outcome's response in bytes.
 func (oct Outcome) size() (bytes int) {
 	for name, values := range oct.Header {
 		for _, value := range values {
@@ -114,8 +114,8 @@
 	return bytes + len(oct.Body)
 }
 
-// withoutAnswer returns a copy that says that the operation ran, without its answer.
-func (oct Outcome) withoutAnswer() Outcome {
+// withoutResponse returns the outcome with StateRan and without the response.
+func (oct Outcome) withoutResponse() Outcome {
 	return Outcome{
 		State:  StateRan,
 		Status: oct.Status,
@@ -138,10 +138,10 @@
 	}
 }
 
-// Hash is the hash of an operation's content.
+// Hash is a hash of an operation's content.
 type Hash [sha256.Size]byte
 
-// Sum returns the hash of what a request asks for: service, method, path, query and body.
+// Sum returns the hash of a request's content: service, method, path, query and body.
 func Sum(req cardamompass.Request) (hsh Hash) {
 	sum := sha256.New()
 	var size [8]byte
--- a/internal/edge/oper/service.go
+++ b/internal/edge/oper/service.go
@@ -19,40 +19,39 @@
 
 // Execute sends an operation to a target. It is called at most once at a time for one operation, and returns a
 // NotRunError or an InvalidError only for an operation that certainly did not run. It must return when ctx ends.
-type Execute func(ctx context.Context, req cardamompass.Request) (ans cardamompass.Response, err error)
+type Execute func(ctx context.Context, req cardamompass.Request) (rsp cardamompass.Response, err error)
 
-// Config configures a Service. Zero values of the bounds stand for the defaults.
+// Config configures a Service. Limits that are 0 are replaced by their defaults.
 type Config struct {
 	// Table holds this VM's records. Required.
 	Table *Table
-	// Membership tells where a home is, and who succeeded it. Required.
+	// Membership provides the addresses of homes and their successors. Required.
 	Membership cardamompass.Membership
 	// Peers calls other entry VMs. Required.
 	Peers cardamompass.PeerCaller
-	// Clock tells the time. Required.
+	// Clock provides the time. Required.
 	Clock cardamompass.Clock
-	// Execute runs the operations that other VMs pass on. Required.
+	// Execute runs the operations that other VMs forward. Required.
 	Execute Execute
-	// MaxTimeout bounds the run of an operation that has no deadline or a later one, 30 s by default.
+	// MaxTimeout bounds the duration of a run, in addition to the operation's deadline, 30 s by default.
 	MaxTimeout time.Duration
-	// MaxBodyBytes bounds the answer's body, 1 MiB by default. An operation with a larger answer ends as ran.
+	// MaxBodyBytes bounds the body of a response, 1 MiB by default. An operation with a larger response ends as StateRan.
 	MaxBodyBytes int64
 }
 
-// Service runs the operations of this VM and passes the others on. It is safe for concurrent use.
+// Service runs the operations whose home is this VM and forwards all others. It is safe for concurrent use.
 type Service struct {
 	cfg    Config
-	ctx    context.Context //nolint:containedctx // bounds the runs, which outlive the requests that started them
+	ctx    context.Context //nolint:containedctx // parent of the runs, which outlive the requests that started them
 	cancel context.CancelFunc
 
 	mu         sync.Mutex
-	over       bool
-	departures []departure // the oldest first
+	closed     bool
+	departures []departure // oldest first
 	runs       sync.WaitGroup
 }
 
-// New returns a Service. Its clean-up function cancels the operations that run and waits for them and for calls of
-// peers.
+// New returns a Service. The cleanup function cancels the running operations, and waits for them and for calls of peers.
 func New(cfg Config) (svc *Service, cleanup func(), err error) {
 	if cfg.Table == nil || cfg.Membership == nil || cfg.Peers == nil || cfg.Clock == nil || cfg.Execute == nil {
 		return nil, nil, &cardamompass.InvalidError{
@@ -77,49 +76,49 @@
 
 func (svc *Service) close() {
 	svc.mu.Lock()
-	svc.over = true
+	svc.closed = true
 	svc.mu.Unlock()
 	svc.cancel()
 	svc.runs.Wait()
 }
 
-// enter registers work that the clean-up function waits for.
-func (svc *Service) enter() (ok bool) {
+// addRun registers work that the cleanup function waits for. It returns false once the service is closed.
+func (svc *Service) addRun() (ok bool) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
-	if svc.over {
+	if svc.closed {
 		return false
 	}
 	svc.runs.Add(1)
 	return true
 }
 
-// Run returns the outcome of one sending of an operation. At the operation's home it runs execute, unless the
-// operation was run before; elsewhere it passes the operation to the home or to the home's successor. A run goes on to
-// its deadline after ctx has ended, so that a re-send finds its outcome.
+// Run returns the outcome of an attempt of an operation. At the operation's home it calls execute unless the operation
+// was already run; elsewhere it forwards the operation to the home or the home's successor. A run continues until its
+// deadline after ctx has ended, so that a retry by the caller finds the outcome.
 //
-// Errors: NotRunError, UnknownOutcomeError, InvalidError, and RanError for an operation whose answer is not held.
+// Errors: NotRunError, UnknownOutcomeError, InvalidError, and RanError for an operation whose response is not stored.
 func (svc *Service) Run(
 	ctx context.Context, req cardamompass.Request, execute Execute,
-) (ans cardamompass.Response, err error) {
+) (rsp cardamompass.Response, err error) {
 	defer func() { err = errors.Wrapf(err, "operation %s", req.ID) }()
 	opn, err := identify(req)
 	if err != nil {
-		return ans, err
+		return rsp, err
 	}
-	ctx, cancel := svc.bounded(ctx, req.Deadline)
+	ctx, cancel := svc.withDeadline(ctx, req.Deadline)
 	defer cancel()
 	var oct Outcome
 	if svc.cfg.Table.Authoritative(opn.Ticket) {
-		oct, err = svc.local(ctx, opn, req, execute)
+		oct, err = svc.runLocally(ctx, opn, req, execute)
 	} else {
-		oct = svc.remote(ctx, opn, req)
+		oct = svc.forwardToHome(ctx, opn, req)
 	}
 	if err == nil {
 		err = oct.Err()
 	}
 	if err != nil {
-		return ans, err
+		return rsp, err
 	}
 	return cardamompass.Response{
 		Status: oct.Status,
@@ -148,8 +147,8 @@
 	}, nil
 }
 
-// bounded ends ctx at deadline, and at the longest time that a run may take.
-func (svc *Service) bounded(
+// withDeadline returns a context that ends at the deadline, and after MaxTimeout at the latest.
+func (svc *Service) withDeadline(
 	ctx context.Context, deadline time.Time,
 ) (bounded context.Context, cancel context.CancelFunc) {
 	left := svc.cfg.MaxTimeout
@@ -159,8 +158,8 @@
 	return context.WithTimeout(ctx, left)
 }
 
-// local runs the operation here, or waits for its recorded outcome.
-func (svc *Service) local(
+// runLocally runs the operation on this VM, or waits for its recorded outcome.
+func (svc *Service) runLocally(
 	ctx context.Context, opn Operation, req cardamompass.Request, execute Execute,
 ) (oct Outcome, err error) {
 	run, pnd, err := svc.cfg.Table.Begin(opn, Sum(req), req.Attempt)
@@ -179,43 +178,43 @@
 		svc.cfg.Table.Finish(opn, notRun("deadline passed or request cancelled before it ran"))
 		return
 	}
-	if !svc.enter() {
+	if !svc.addRun() {
 		svc.cfg.Table.Finish(opn, notRun("this VM is stopping"))
 		return
 	}
 	go func() {
 		defer svc.runs.Done()
-		rctx, cancel := svc.bounded(svc.ctx, req.Deadline)
+		rctx, cancel := svc.withDeadline(svc.ctx, req.Deadline)
 		defer cancel()
 		svc.cfg.Table.Finish(opn, svc.execute(rctx, req, execute))
 	}()
 }
 
-// execute runs the operation and reads its answer whole.
+// execute runs the operation and reads its complete response.
 func (svc *Service) execute(ctx context.Context, req cardamompass.Request, execute Execute) (oct Outcome) {
-	ans, err := execute(ctx, req)
+	rsp, err := execute(ctx, req)
 	if err != nil {
 		return outcomeOf(err)
 	}
-	defer ans.Body.Close() //nolint:errcheck // the body was read or is given up
-	body, err := io.ReadAll(io.LimitReader(ans.Body, svc.cfg.MaxBodyBytes+1))
+	defer rsp.Body.Close() //nolint:errcheck // the body has been read or is discarded
+	body, err := io.ReadAll(io.LimitReader(rsp.Body, svc.cfg.MaxBodyBytes+1))
 	if err != nil {
 		return outcomeOf(err)
 	}
 	oct = Outcome{
 		State:  StateAnswered,
-		Status: ans.Status,
-		Header: ans.Header,
+		Status: rsp.Status,
+		Header: rsp.Header,
 		Body:   body,
-		Target: ans.Target,
+		Target: rsp.Target,
 	}
 	if int64(len(body)) > svc.cfg.MaxBodyBytes {
-		return oct.withoutAnswer()
+		return oct.withoutResponse()
 	}
 	return oct
 }
 
-// outcomeOf turns an error of an execution into an outcome. Any error that does not say more is unknown.
+// outcomeOf converts an error of an execution to an outcome. An error of any other type is an unknown outcome.
 func outcomeOf(err error) (oct Outcome) {
 	var (
 		nre *cardamompass.NotRunError
--- a/internal/edge/oper/sim_test.go
+++ b/internal/edge/oper/sim_test.go
@@ -17,66 +17,68 @@
 
 var errLost = errors.New("connection lost")
 
-// skewed is a clock with an offset and a rate of its own.
-type skewed struct {
+// skewedClock is a clock with an offset and a rate error.
+type skewedClock struct {
 	cardamompass.SystemClock
 	base   time.Time
 	offset time.Duration
 	rate   float64
 }
 
-func (skw skewed) Now() time.Time {
+func (skw skewedClock) Now() time.Time {
 	return skw.base.Add(skw.offset + time.Duration(float64(time.Since(skw.base))*skw.rate))
 }
 
-// node is one run of one entry VM.
+// node is one incarnation of an entry VM.
 type node struct {
-	vm      cardamompass.VM
-	clk     skewed
-	svc     *oper.Service
-	cleanup func()
-	resume  time.Time // paused until then
-	dead    bool
+	vm          cardamompass.VM
+	clk         skewedClock
+	svc         *oper.Service
+	cleanup     func()
+	pausedUntil time.Time // no call is handled before this time
+	dead        bool
 }
 
-// world holds three VMs, their network and the targets. Everything happens in the fake time of testing/synctest.
-type world struct {
-	mu      sync.Mutex
-	seed    int64
-	naive   bool
-	nodes   []*node // current run of each VM
-	all     []*node
-	members []cardamompass.Member
-	blocked map[string]bool
-	arrived map[string][]time.Time // executions at targets by request
-	sent    map[string][]time.Time // sendings by the caller
-	notRun  map[string][]time.Time // times at which the caller was told not-run
+// simulation holds three VMs, their network and the targets. Everything happens in the fake time of testing/synctest.
+type simulation struct {
+	mu           sync.Mutex
+	seed         int64
+	naive        bool
+	current      []*node // current incarnation of each VM
+	all          []*node // all incarnations
+	members      []cardamompass.Member
+	blockedLinks map[string]bool
+	executions   map[string][]time.Time // execution times at targets by request
+	attempts     map[string][]time.Time // times of the caller's attempts
+	notRun       map[string][]time.Time // times at which the caller got a not-run outcome
 }
 
-func (wld *world) chance(key string, percent int) bool { return wld.number(key, 100) < percent }
+func (sim *simulation) randomBool(key string, percent int) bool {
+	return sim.randomInt(key, 100) < percent
+}
 
-// number draws from a hash of the seed, the fake time and key, so that a draw does not depend on the order in which
-// the goroutines that are ready at one instant are scheduled.
-func (wld *world) number(key string, limit int) int {
-	text := fmt.Sprint(wld.seed, time.Now().UnixNano(), key, limit)
+// randomInt draws from a hash of the seed, the fake time and key, so that a draw does not depend on the order in which
+// goroutines that are runnable at the same instant are scheduled.
+func (sim *simulation) randomInt(key string, limit int) int {
+	text := fmt.Sprint(sim.seed, time.Now().UnixNano(), key, limit)
 	return int(xxhash.Sum64String(text) % uint64(limit))
 }
 
-// delay sleeps for a random time, rarely for a long one, so that messages overtake each other.
-func (wld *world) delay(key string) {
-	span := time.Duration(wld.number(key, 40_000)+1) * time.Microsecond
-	if wld.chance(key, 15) {
+// randomDelay sleeps for a random time, rarely for a long one, so that messages overtake each other.
+func (sim *simulation) randomDelay(key string) {
+	span := time.Duration(sim.randomInt(key, 40_000)+1) * time.Microsecond
+	if sim.randomBool(key, 15) {
 		span *= 60
 	}
 	time.Sleep(span)
 }
 
-// awake waits while nod is paused. It reports false when nod is dead.
-func (wld *world) awake(nod *node) bool {
+// waitWhilePaused waits while nod is paused. It reports false when nod is dead.
+func (sim *simulation) waitWhilePaused(nod *node) bool {
 	for {
-		wld.mu.Lock()
-		wait, dead := time.Until(nod.resume), nod.dead
-		wld.mu.Unlock()
+		sim.mu.Lock()
+		wait, dead := time.Until(nod.pausedUntil), nod.dead
+		sim.mu.Unlock()
 		if dead {
 			return false
 		}
@@ -87,16 +89,17 @@
 	}
 }
 
-// execute is one attempt at a target. It counts the arrival, which may come after the attempt was given up.
-func (wld *world) execute(nod *node) oper.Execute {
+// executeAtTarget returns the Execute function of a node. It records the execution at the target, which may happen after
+// the attempt has failed.
+func (sim *simulation) executeAtTarget(nod *node) oper.Execute {
 	return func(ctx context.Context, req cardamompass.Request) (cardamompass.Response, error) {
 		key := fmt.Sprint("target", req.ID, nod.vm.ID)
-		if !wld.awake(nod) {
+		if !sim.waitWhilePaused(nod) {
 			return cardamompass.Response{}, errLost
 		}
-		switch wld.number(key, 6) {
+		switch sim.randomInt(key, 6) {
 		case 0:
-			wld.delay(key)
+			sim.randomDelay(key)
 			return cardamompass.Response{}, &cardamompass.NotRunError{
 				Reason: "shed",
 			}
@@ -105,12 +108,12 @@
 				Reason: "cut",
 			}
 		}
-		wld.delay(key)
-		wld.mu.Lock()
-		wld.arrived[string(req.ID)] = append(wld.arrived[string(req.ID)], time.Now())
-		wld.mu.Unlock()
-		wld.delay(key)
-		if wld.chance(key, 20) || ctx.Err() != nil || !wld.awake(nod) {
+		sim.randomDelay(key)
+		sim.mu.Lock()
+		sim.executions[string(req.ID)] = append(sim.executions[string(req.ID)], time.Now())
+		sim.mu.Unlock()
+		sim.randomDelay(key)
+		if sim.randomBool(key, 20) || ctx.Err() != nil || !sim.waitWhilePaused(nod) {
 			return cardamompass.Response{}, errLost
 		}
 		return cardamompass.Response{
@@ -120,37 +123,37 @@
 	}
 }
 
-// link is the network as one VM sees it: a membership and a peer caller.
-type link struct {
-	wld  *world
-	from *node
+// peerNetwork is the network as one VM sees it: a membership and a peer caller.
+type peerNetwork struct {
+	sim  *simulation
+	self *node
 }
 
-func (lnk link) Self() cardamompass.Member { return lnk.Members()[0] }
+func (ntw peerNetwork) Self() cardamompass.Member { return ntw.Members()[0] }
 
-func (lnk link) Members() []cardamompass.Member {
-	lnk.wld.mu.Lock()
-	defer lnk.wld.mu.Unlock()
-	return append([]cardamompass.Member(nil), lnk.wld.members...)
+func (ntw peerNetwork) Members() []cardamompass.Member {
+	ntw.sim.mu.Lock()
+	defer ntw.sim.mu.Unlock()
+	return append([]cardamompass.Member(nil), ntw.sim.members...)
 }
 
-func (lnk link) Call(ctx context.Context, address, method string, args, reply any) (err error) {
-	wld := lnk.wld
-	key := fmt.Sprint(lnk.from.vm.ID, address, method)
+func (ntw peerNetwork) Call(ctx context.Context, address, method string, args, reply any) (err error) {
+	sim := ntw.sim
+	key := fmt.Sprint(ntw.self.vm.ID, address, method)
 	if fwd, ok := args.(*oper.ForwardArgs); ok {
 		key += string(fwd.Request.ID)
 	}
-	wld.mu.Lock()
+	sim.mu.Lock()
 	var peer *node
-	for _, nod := range wld.nodes {
+	for _, nod := range sim.current {
 		if nod.vm.PeerAddress == address {
 			peer = nod
 		}
 	}
-	there, back := wld.blocked[lnk.from.vm.PeerAddress+address], wld.blocked[address+lnk.from.vm.PeerAddress]
+	requestBlocked, replyBlocked := sim.blockedLinks[ntw.self.vm.PeerAddress+address], sim.blockedLinks[address+ntw.self.vm.PeerAddress]
 	dead := peer.dead
-	wld.mu.Unlock()
-	if dead || ctx.Err() != nil || wld.chance(key+"dial", 5) {
+	sim.mu.Unlock()
+	if dead || ctx.Err() != nil || sim.randomBool(key+"dial", 5) {
 		return &cardamompass.PeerUnsentError{
 			Address: address,
 			Err:     errLost,
@@ -159,24 +162,24 @@
 	done := make(chan error, 1)
 	var deliver func()
 	go func() {
-		wld.delay(key)
-		if there || !wld.awake(peer) {
+		sim.randomDelay(key)
+		if requestBlocked || !sim.waitWhilePaused(peer) {
 			return
 		}
 		var err error
 		deliver, err = dispatch(peer.svc, args, reply)
 		done <- err
 	}()
-	if wld.chance(key+"cut", 10) {
+	if sim.randomBool(key+"cut", 10) {
 		return errLost
 	}
 	select {
 	case err = <-done:
-		if back || !wld.awake(peer) {
+		if replyBlocked || !sim.waitWhilePaused(peer) {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		wld.delay(key)
+		sim.randomDelay(key)
 		deliver()
 		return err
 	case <-ctx.Done():
@@ -184,7 +187,7 @@
 	}
 }
 
-// dispatch calls the method that args belong to. deliver copies its reply.
+// dispatch calls the RPC method for the type of args. deliver copies the reply to the caller.
 func dispatch(svc *oper.Service, args, reply any) (deliver func(), err error) {
 	if prt, ok := args.(*oper.Chunk); ok {
 		rpl := new(oper.HandoverReply)
@@ -196,44 +199,44 @@
 	return func() { *reply.(*oper.Reply) = *rpl }, err
 }
 
-// start begins a run of VM idx.
-func (wld *world) start(idx int) (nod *node) {
+// start starts a new incarnation of VM idx.
+func (sim *simulation) start(idx int) (nod *node) {
 	nod = &node{
 		vm: cardamompass.VM{
 			ID:          cardamompass.VMID(fmt.Sprint("vm-", idx)),
 			Incarnation: cardamompass.Incarnation(time.Now().UnixNano()),
 			PeerAddress: fmt.Sprint("peer-", idx),
 		},
-		clk: skewed{
+		clk: skewedClock{
 			base:   time.Now(),
-			offset: time.Duration(wld.number(fmt.Sprint("offset", idx), 80_000)-40_000) * time.Millisecond,
-			rate:   1 + float64(wld.number(fmt.Sprint("rate", idx), 200)-100)/10_000,
+			offset: time.Duration(sim.randomInt(fmt.Sprint("offset", idx), 80_000)-40_000) * time.Millisecond,
+			rate:   1 + float64(sim.randomInt(fmt.Sprint("rate", idx), 200)-100)/10_000,
 		},
 	}
 	tab, _ := oper.NewTable(oper.TableConfig{
 		Self:  nod.vm,
 		Clock: nod.clk,
 	})
-	lnk := link{
-		wld:  wld,
-		from: nod,
+	ntw := peerNetwork{
+		sim:  sim,
+		self: nod,
 	}
 	var err error
 	nod.svc, nod.cleanup, err = oper.New(oper.Config{
 		Table:      tab,
-		Membership: lnk,
-		Peers:      lnk,
+		Membership: ntw,
+		Peers:      ntw,
 		Clock:      nod.clk,
-		Execute:    wld.execute(nod),
+		Execute:    sim.executeAtTarget(nod),
 	})
 	if err != nil {
 		panic(err)
 	}
-	wld.mu.Lock()
-	defer wld.mu.Unlock()
-	wld.nodes[idx] = nod
-	wld.all = append(wld.all, nod)
-	wld.members[idx] = cardamompass.Member{
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.current[idx] = nod
+	sim.all = append(sim.all, nod)
+	sim.members[idx] = cardamompass.Member{
 		VM: nod.vm,
 	}
 	return nod
--- a/internal/edge/oper/table.go
+++ b/internal/edge/oper/table.go
@@ -8,32 +8,32 @@
 	"cardamompass"
 )
 
-// TableConfig configures a Table. Zero values of the bounds stand for the defaults.
+// TableConfig configures a Table. Limits that are 0 are replaced by their defaults.
 type TableConfig struct {
 	// Self is this VM; its incarnation owns the table. Required.
 	Self cardamompass.VM
-	// Clock tells the time. Only durations since the table was made are used after that. Required.
+	// Clock provides the time. Only durations since the creation of the table are used. Required.
 	Clock cardamompass.Clock
-	// MaxRecords bounds the records, 200,000 by default.
+	// MaxRecords bounds the number of records, 200,000 by default.
 	MaxRecords int
-	// MaxResponseBytes bounds the answers that all records keep together, 16 MiB by default. Beyond it the oldest
-	// answers are dropped; their operations end as ran.
+	// MaxResponseBytes bounds the total size of the stored responses, 16 MiB by default. Beyond it the oldest responses
+	// are dropped, and the state of their operations becomes StateRan.
 	MaxResponseBytes int
 }
 
-// Table holds the records of one VM. It is safe for concurrent use.
+// Table holds the operation records of one VM. It is safe for concurrent use.
 type Table struct {
 	clk   cardamompass.Clock
 	start time.Time
-	self  runID
+	self  homeID
 
 	mu      sync.Mutex
 	mch     *machine
 	pending map[Operation]*Pending
-	quiet   chan struct{} // closed when the table is closed and nothing runs
+	idle    chan struct{} // closed when the table is closed and nothing runs
 }
 
-// NewTable returns an empty table. The time of the incarnation starts with the call.
+// NewTable returns an empty table. The incarnation's clock starts with the call.
 func NewTable(cfg TableConfig) (tab *Table, err error) {
 	if cfg.Clock == nil || !validName(string(cfg.Self.ID)) || cfg.Self.Incarnation == 0 {
 		return nil, &cardamompass.InvalidError{
@@ -42,16 +42,16 @@
 		}
 	}
 	lim := limits{
-		records:     cfg.MaxRecords,
-		answerBytes: cfg.MaxResponseBytes,
+		records:       cfg.MaxRecords,
+		responseBytes: cfg.MaxResponseBytes,
 	}
 	if lim.records <= 0 {
 		lim.records = DefaultMaxRecords
 	}
-	if lim.answerBytes <= 0 {
-		lim.answerBytes = DefaultMaxResponseBytes
+	if lim.responseBytes <= 0 {
+		lim.responseBytes = DefaultMaxResponseBytes
 	}
-	self := runID{
+	self := homeID{
 		home:        cfg.Self.ID,
 		incarnation: cfg.Self.Incarnation,
 	}
@@ -62,20 +62,20 @@
 		self:    self,
 		mch:     newMachine(self, start.UnixMilli(), lim),
 		pending: make(map[Operation]*Pending),
-		quiet:   make(chan struct{}),
+		idle:    make(chan struct{}),
 	}, nil
 }
 
-// now is the monotonic time since the start of the incarnation.
+// now returns the monotonic time since the start of the incarnation.
 func (tab *Table) now() time.Duration { return tab.clk.Now().Sub(tab.start) }
 
-// Pending is the outcome of an operation, now or later. It is safe for concurrent use.
+// Pending is an outcome that may not be available yet. It is safe for concurrent use.
 type Pending struct {
 	done    chan struct{}
 	outcome Outcome
 }
 
-// Wait returns the outcome. It is unknown when ctx ends first.
+// Wait waits for the outcome. It returns an unknown outcome if ctx ends first.
 func (pnd *Pending) Wait(ctx context.Context) (oct Outcome) {
 	select {
 	case <-pnd.done:
@@ -90,33 +90,33 @@
 	}
 }
 
-// Begin registers one sending of an operation. attempt is the caller's count of its sendings, 0 if it does not count.
-// If run is true, the caller must run the operation exactly once and call Finish with its outcome. In every case pnd
-// yields the outcome. A sending whose content differs from the recorded one is an InvalidError.
+// Begin registers an attempt of an operation. attempt is the attempt count given by the client, 0 if there is none. If
+// run is true, the caller of Begin must run the operation exactly once and call Finish with its outcome. Without an error
+// pnd yields the outcome. An attempt whose content differs from the recorded one is an InvalidError.
 func (tab *Table) Begin(opn Operation, hsh Hash, attempt int) (run bool, pnd *Pending, err error) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
-	vdt, oct := tab.mch.begin(tab.now(), opn, hsh, attempt)
-	switch vdt {
-	case verdictRun:
+	dec, oct := tab.mch.begin(tab.now(), opn, hsh, attempt)
+	switch dec {
+	case decisionRun:
 		pnd = &Pending{
 			done: make(chan struct{}),
 		}
 		tab.pending[opn] = pnd
 		return true, pnd, nil
-	case verdictWait:
+	case decisionWait:
 		return false, tab.pending[opn], nil
-	case verdictInvalid:
+	case decisionInvalid:
 		return false, nil, &cardamompass.InvalidError{
 			Field:  cardamompass.HeaderRequestID,
-			Reason: "was used with the same ticket for a request with other content",
+			Reason: "was already used with this ticket for a request with different content",
 		}
 	default:
-		return false, settled(oct), nil
+		return false, completed(oct), nil
 	}
 }
 
-func settled(oct Outcome) *Pending {
+func completed(oct Outcome) *Pending {
 	pnd := &Pending{
 		done:    make(chan struct{}),
 		outcome: oct,
@@ -125,8 +125,8 @@
 	return pnd
 }
 
-// Finish ends the run of an operation. All who wait for it get the outcome with its answer whole; the record keeps
-// the answer within the bounds. A second call has no effect.
+// Finish records the outcome of a running operation. All waiting attempts get the outcome with the complete response; the
+// record keeps the response only within the limits. A second call has no effect.
 func (tab *Table) Finish(opn Operation, oct Outcome) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
@@ -138,62 +138,62 @@
 	tab.mch.finish(tab.now(), opn, oct)
 	pnd.outcome = oct
 	close(pnd.done)
-	tab.checkQuiet()
+	tab.closeIfIdle()
 }
 
-// checkQuiet closes quiet once the table is closed and nothing runs.
-func (tab *Table) checkQuiet() {
+// closeIfIdle closes the idle channel once the table is closed and no operation is running.
+func (tab *Table) closeIfIdle() {
 	if !tab.mch.closed || tab.mch.running > 0 {
 		return
 	}
 	select {
-	case <-tab.quiet:
+	case <-tab.idle:
 	default:
-		close(tab.quiet)
+		close(tab.idle)
 	}
 }
 
-// Status returns what became of an operation, as far as this table knows.
+// Status returns the outcome of an operation according to this table.
 func (tab *Table) Status(opn Operation) (oct Outcome) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	return tab.mch.status(tab.now(), opn)
 }
 
-// Authoritative reports whether this table answers for the ticket's incarnation: its own, or one that was imported.
+// Authoritative reports whether this table holds the records of the ticket's home: this incarnation or an imported one.
 func (tab *Table) Authoritative(tkt Ticket) bool {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
-	return tkt.run() == tab.self || tab.mch.imported[tkt.run()] != nil
+	return tkt.homeID() == tab.self || tab.mch.imported[tkt.homeID()] != nil
 }
 
-// Stats are the figures of a table for the state dump and the metrics.
+// Stats holds the statistics of a table for the state dump and the metrics.
 type Stats struct {
-	// Records is the number of records, those of other incarnations included.
+	// Records is the number of records, including those of other incarnations.
 	Records int `json:"records"`
-	// Running is the number of operations that run.
+	// Running is the number of running operations.
 	Running int `json:"running"`
-	// ResponseBytes is the size of the answers that are held.
+	// ResponseBytes is the total size of the stored responses.
 	ResponseBytes int `json:"answer-bytes"`
-	// Closed is set once the table accepts no new operations.
+	// Closed is set once the table no longer accepts new operations.
 	Closed bool `json:"closed"`
-	// Complete and Partial count the other incarnations whose records were imported whole or in part.
+	// Complete and Partial count the other incarnations whose records were imported completely or in part.
 	Complete int `json:"imported-whole"`
 	Partial  int `json:"imported-in-part"`
 }
 
-// Stats returns the current figures.
+// Stats returns the current statistics.
 func (tab *Table) Stats() (sts Stats) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	sts = Stats{
 		Records:       len(tab.mch.records),
 		Running:       tab.mch.running,
-		ResponseBytes: tab.mch.bytes,
+		ResponseBytes: tab.mch.responseBytes,
 		Closed:        tab.mch.closed,
 	}
-	for _, fgn := range tab.mch.imported {
-		if fgn.whole {
+	for _, imp := range tab.mch.imported {
+		if imp.complete {
 			sts.Complete++
 		} else {
 			sts.Partial++
@@ -202,15 +202,15 @@
 	return sts
 }
 
-// Export closes the table for new operations for good, waits until nothing runs or ctx ends, and returns the records.
-// What still runs then is handed over as unknown.
-func (tab *Table) Export(ctx context.Context) (prs []Chunk) {
+// Export closes the table permanently for new operations, waits until no operation is running or ctx ends, and returns
+// the records. Operations that are still running then are exported as unknown.
+func (tab *Table) Export(ctx context.Context) (chs []Chunk) {
 	tab.mu.Lock()
 	tab.mch.close()
-	tab.checkQuiet()
+	tab.closeIfIdle()
 	tab.mu.Unlock()
 	select {
-	case <-tab.quiet:
+	case <-tab.idle:
 	case <-ctx.Done():
 	}
 	tab.mu.Lock()
@@ -218,12 +218,12 @@
 	return tab.mch.export(tab.now())
 }
 
-// Import takes over one part of the records of an incarnation that left. It may be repeated. A part that can't be
-// taken is an InvalidError; this table then answers unknown for what it does not hold of that incarnation.
-func (tab *Table) Import(prt Chunk) (err error) {
+// Import imports one chunk of the records of an incarnation that left. It is idempotent. A chunk that is refused is an
+// InvalidError; this table then answers unknown for operations of that incarnation of which it has no record.
+func (tab *Table) Import(chk Chunk) (err error) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
-	if reason := tab.mch.take(tab.now(), prt); reason != "" {
+	if reason := tab.mch.importChunk(tab.now(), chk); reason != "" {
 		return &cardamompass.InvalidError{
 			Field:  "handover",
 			Reason: reason,
--- a/internal/edge/oper/table_test.go
+++ b/internal/edge/oper/table_test.go
@@ -18,13 +18,13 @@
 	"cardamompass/internal/edge/oper"
 )
 
-// manual is a clock that the test moves.
-type manual struct {
+// manualClock is a clock that the test moves.
+type manualClock struct {
 	cardamompass.SystemClock
 	now time.Time
 }
 
-func (man *manual) Now() time.Time { return man.now }
+func (clk *manualClock) Now() time.Time { return clk.now }
 
 var (
 	homeVM = cardamompass.VM{
@@ -37,31 +37,31 @@
 	}
 )
 
-func newTable(t *testing.T, self cardamompass.VM, records int) (tab *oper.Table, man *manual) {
+func newTable(t *testing.T, self cardamompass.VM, records int) (tab *oper.Table, clk *manualClock) {
 	t.Helper()
-	man = &manual{
+	clk = &manualClock{
 		now: time.Unix(1_700_000_000, 0),
 	}
 	tab, err := oper.NewTable(oper.TableConfig{
 		Self:             self,
-		Clock:            man,
+		Clock:            clk,
 		MaxRecords:       records,
 		MaxResponseBytes: 2 << 20,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return tab, man
+	return tab, clk
 }
 
-func operation(man *manual, rid string, age time.Duration) oper.Operation {
+func operation(clk *manualClock, rid string, age time.Duration) oper.Operation {
 	return oper.Operation{
-		Ticket:  oper.Issue(homeVM, man.now.Add(-age)),
+		Ticket:  oper.Issue(homeVM, clk.now.Add(-age)),
 		Request: cardamompass.RequestID(rid),
 	}
 }
 
-// begin returns the state that a sending finds, "run" if it may run, or "invalid".
+// begin returns the state that an attempt finds, "run" if it has to run the operation, or "invalid".
 func begin(tab *oper.Table, opn oper.Operation, hsh oper.Hash, attempt int) string {
 	run, pnd, err := tab.Begin(opn, hsh, attempt)
 	if run || err != nil {
@@ -72,17 +72,18 @@
 	return pnd.Wait(ctx).State.String()
 }
 
-// Guards against a record that decides wrongly about the next sending, and a refusal that claims too much.
+// Guards against a wrong decision about the next attempt of an operation, and against a refusal that reports not-run
+// without being certain.
 func TestTable(t *testing.T) {
-	type step func(*oper.Table, *manual, oper.Operation)
-	// finish begins sendings with the given attempt counts, ends the run with oct and lets time pass.
+	type step func(*oper.Table, *manualClock, oper.Operation)
+	// finish begins attempts with the given counts, finishes the operation with oct and advances the clock.
 	finish := func(oct oper.Outcome, pass time.Duration, attempts ...int) step {
-		return func(tab *oper.Table, man *manual, opn oper.Operation) {
+		return func(tab *oper.Table, clk *manualClock, opn oper.Operation) {
 			for _, attempt := range attempts {
 				begin(tab, opn, oper.Hash{}, attempt)
 			}
 			tab.Finish(opn, oct)
-			man.now = man.now.Add(pass)
+			clk.now = clk.now.Add(pass)
 		}
 	}
 	answered, notRun := oper.Outcome{State: oper.StateAnswered}, oper.Outcome{State: oper.StateNotRun}
@@ -100,36 +101,36 @@
 		{name: "oldest ticket", age: 5 * time.Minute, want: "run"},
 		{name: "expired ticket", age: 5*time.Minute + time.Second, attempt: 1, want: "unknown"},
 		{name: "earliest ticket", age: -30 * time.Second, want: "run"},
-		{name: "early ticket, first sending", age: -31 * time.Second, attempt: 1, want: "not-run"},
-		{name: "early ticket, re-sending", age: -31 * time.Second, attempt: 2, want: "unknown"},
+		{name: "early ticket, first attempt", age: -31 * time.Second, attempt: 1, want: "not-run"},
+		{name: "early ticket, second attempt", age: -31 * time.Second, attempt: 2, want: "unknown"},
 		{name: "early ticket, not counted", age: -31 * time.Second, want: "unknown"},
-		{name: "running", before: func(tab *oper.Table, _ *manual, opn oper.Operation) {
+		{name: "running", before: func(tab *oper.Table, _ *manualClock, opn oper.Operation) {
 			begin(tab, opn, oper.Hash{}, 1)
 		}, attempt: 2, want: "unknown"},
 		{name: "answered", before: finish(answered, 0, 1), attempt: 2, want: "answered"},
 		{name: "unknown", before: finish(oper.Outcome{State: oper.StateUnknown}, 0, 1), attempt: 2, want: "unknown"},
-		{name: "other content", before: finish(answered, 0, 1), attempt: 2, hash: oper.Hash{1}, want: "invalid"},
-		{name: "not run, sent again", before: finish(notRun, 0, 1), attempt: 2, want: "run"},
+		{name: "different content", before: finish(answered, 0, 1), attempt: 2, hash: oper.Hash{1}, want: "invalid"},
+		{name: "not run, retried", before: finish(notRun, 0, 1), attempt: 2, want: "run"},
 		{name: "not run, late copy", before: finish(notRun, 0, 1), attempt: 1, want: "not-run"},
 		{name: "not run, not counted", before: finish(notRun, 0, 1), want: "not-run"},
-		{name: "not run, late copy of a waiting sending", before: finish(notRun, 0, 1, 3), attempt: 2, want: "not-run"},
-		{name: "no room, first sending", before: func(tab *oper.Table, man *manual, _ oper.Operation) {
-			begin(tab, operation(man, "x", 0), oper.Hash{}, 1)
-			begin(tab, operation(man, "y", 0), oper.Hash{}, 1)
+		{name: "not run, late copy of a waiting attempt", before: finish(notRun, 0, 1, 3), attempt: 2, want: "not-run"},
+		{name: "table full, first attempt", before: func(tab *oper.Table, clk *manualClock, _ oper.Operation) {
+			begin(tab, operation(clk, "x", 0), oper.Hash{}, 1)
+			begin(tab, operation(clk, "y", 0), oper.Hash{}, 1)
 		}, attempt: 1, want: "not-run"},
-		{name: "retained to the end", before: finish(answered, oper.Retention-1, 1), want: "answered"},
+		{name: "end of retention", before: finish(answered, oper.Retention-1, 1), want: "answered"},
 		{name: "dropped after retention", before: finish(answered, oper.Retention, 1), attempt: 1, want: "unknown"},
-		{name: "answer over the bound", before: finish(large, 0, 1), attempt: 2, want: "ran"},
-		{name: "closed by a planned stop", before: func(tab *oper.Table, _ *manual, _ oper.Operation) {
+		{name: "response over the size limit", before: finish(large, 0, 1), attempt: 2, want: "ran"},
+		{name: "closed by a planned stop", before: func(tab *oper.Table, _ *manualClock, _ oper.Operation) {
 			tab.Export(context.Background())
 		}, attempt: 2, want: "not-run"},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			tab, man := newTable(t, homeVM, 2)
-			opn := operation(man, "op", tst.age)
+			tab, clk := newTable(t, homeVM, 2)
+			opn := operation(clk, "op", tst.age)
 			if tst.before != nil {
-				tst.before(tab, man, opn)
+				tst.before(tab, clk, opn)
 			}
 			if got := begin(tab, opn, tst.hash, tst.attempt); got != tst.want {
 				t.Fatalf("got %s, want %s", got, tst.want)
@@ -138,70 +139,70 @@
 	}
 }
 
-// Guards against a successor that claims not-run while records are missing, against messages over the bound, and
+// Guards against a successor that answers not-run while records are missing, against chunks over the size limit, and
 // against an import that is not idempotent.
 func TestHandover(t *testing.T) {
-	tab, man := newTable(t, homeVM, 1000)
+	tab, clk := newTable(t, homeVM, 1000)
 	for idx := range 100 {
-		opn := operation(man, fmt.Sprint("op-", idx), 0)
+		opn := operation(clk, fmt.Sprint("op-", idx), 0)
 		begin(tab, opn, oper.Hash{}, 1)
 		tab.Finish(opn, oper.Outcome{
 			State: oper.StateAnswered,
 			Body:  bytes.Repeat([]byte("b"), idx*600),
 		})
 	}
-	open := operation(man, "open", 0)
+	open := operation(clk, "open", 0)
 	begin(tab, open, oper.Hash{}, 1)
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
-	prs := tab.Export(over)
+	chs := tab.Export(over)
 	next, _ := newTable(t, nextVM, 1000)
-	absent := operation(man, "absent", 0)
+	absent := operation(clk, "absent", 0)
 	if got := next.Status(absent).State; got != oper.StateUnknown {
 		t.Errorf("before the handover: %v, want unknown", got)
 	}
-	for idx, prt := range prs {
+	for idx, chk := range chs {
 		var buf bytes.Buffer
-		if err := gob.NewEncoder(&buf).Encode(prt); err != nil || buf.Len() > oper.MaxChunkBytes {
-			t.Fatalf("part %d has %d bytes, error %v", idx, buf.Len(), err)
+		if err := gob.NewEncoder(&buf).Encode(chk); err != nil || buf.Len() > oper.MaxChunkBytes {
+			t.Fatalf("chunk %d has %d bytes, error %v", idx, buf.Len(), err)
 		}
 		if got := next.Status(absent).State; got != oper.StateUnknown {
-			t.Errorf("after %d of %d parts: %v, want unknown", idx, len(prs), got)
+			t.Errorf("after %d of %d chunks: %v, want unknown", idx, len(chs), got)
 		}
 		for range 2 {
-			if err := next.Import(prt); err != nil {
+			if err := next.Import(chk); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	sts := next.Stats()
-	if len(prs) < 2 || sts.Records != 101 || sts.ResponseBytes != (99*100-54*55)/2*600 || sts.Complete != 1 || sts.Partial != 0 {
-		t.Errorf("%d parts, %+v", len(prs), sts)
+	if len(chs) < 2 || sts.Records != 101 || sts.ResponseBytes != (99*100-54*55)/2*600 || sts.Complete != 1 || sts.Partial != 0 {
+		t.Errorf("%d chunks, %+v", len(chs), sts)
 	}
 	for opn, want := range map[oper.Operation]oper.State{
 		absent:                                oper.StateNotRun,
 		open:                                  oper.StateUnknown,
-		operation(man, "op-54", 0):            oper.StateRan, // its answer was dropped for room
-		operation(man, "op-55", 0):            oper.StateAnswered,
-		operation(man, "old", 10*time.Minute): oper.StateUnknown,
+		operation(clk, "op-54", 0):            oper.StateRan, // its response was dropped because of MaxResponseBytes
+		operation(clk, "op-55", 0):            oper.StateAnswered,
+		operation(clk, "old", 10*time.Minute): oper.StateUnknown,
 	} {
 		if got := next.Status(opn).State; got != want {
 			t.Errorf("%s: %v, want %v", opn.Request, got, want)
 		}
 	}
-	if err := tab.Import(prs[0]); err == nil {
-		t.Error("the home took its own records")
+	if err := tab.Import(chs[0]); err == nil {
+		t.Error("the home imported its own records")
 	}
 }
 
-// Guards against a run that ends with its caller's connection, so that a re-send would not find the outcome.
+// Guards against a run that ends when its caller disconnects, so that a retry would not find the outcome.
 func TestRunOutlivesCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wld := &world{
-			nodes:   make([]*node, 1),
+		sim := &simulation{
+			current: make([]*node, 1),
 			members: make([]cardamompass.Member, 1),
 		}
-		nod := wld.start(0)
+		nod := sim.start(0)
 		defer nod.cleanup()
 		req := cardamompass.Request{
 			ID:       "op",
@@ -222,11 +223,11 @@
 		if _, err := nod.svc.Run(ctx, req, execute); !errors.As(err, &uoe) {
 			t.Errorf("error %v, want unknown", err)
 		}
-		ans, err := nod.svc.Run(t.Context(), req, execute)
+		rsp, err := nod.svc.Run(t.Context(), req, execute)
 		if err != nil || runs != 1 {
 			t.Fatalf("error %v after %d runs", err, runs)
 		}
-		if body, _ := io.ReadAll(ans.Body); string(body) != "done" {
+		if body, _ := io.ReadAll(rsp.Body); string(body) != "done" {
 			t.Errorf("body %q", body)
 		}
 	})
@@ -239,7 +240,7 @@
 	return cal.clt.Call(method, args, reply)
 }
 
-// Guards against methods that net/rpc does not find, and against an outcome that changes on the way between two VMs.
+// Guards against methods that net/rpc does not accept, and against an outcome that changes in transit between two VMs.
 func TestForwardOverRPC(t *testing.T) {
 	near, far := net.Pipe()
 	srv, clt := rpc.NewServer(), rpc.NewClient(near)
@@ -250,19 +251,19 @@
 	}
 	services := map[cardamompass.VMID]*oper.Service{}
 	for _, self := range []cardamompass.VM{homeVM, nextVM} {
-		tab, man := newTable(t, self, 10)
+		tab, clk := newTable(t, self, 10)
 		svc, cleanup, err := oper.New(oper.Config{
 			Table: tab,
-			Membership: link{
-				wld: &world{
+			Membership: peerNetwork{
+				sim: &simulation{
 					members: []cardamompass.Member{{VM: homeVM}, {VM: nextVM}, {VM: gone}},
 				},
 			},
 			Peers: rpcCaller{clt: clt},
-			Clock: man,
-			Execute: func(_ context.Context, req cardamompass.Request) (ans cardamompass.Response, err error) {
+			Clock: clk,
+			Execute: func(_ context.Context, req cardamompass.Request) (rsp cardamompass.Response, err error) {
 				if req.ID == "shed" {
-					return ans, &cardamompass.NotRunError{Reason: "shed"}
+					return rsp, &cardamompass.NotRunError{Reason: "shed"}
 				}
 				return cardamompass.Response{Status: 201, Body: io.NopCloser(bytes.NewReader(req.Body))}, nil
 			},
@@ -282,12 +283,12 @@
 		Ticket: oper.Issue(homeVM, time.Unix(1_700_000_000, 0)).String(),
 		Body:   []byte("whole"),
 	}
-	ans, err := services[nextVM.ID].Run(t.Context(), req, nil)
+	rsp, err := services[nextVM.ID].Run(t.Context(), req, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if body, _ := io.ReadAll(ans.Body); string(body) != "whole" || ans.Status != 201 {
-		t.Errorf("answer %+v, body %q", ans, body)
+	if body, _ := io.ReadAll(rsp.Body); string(body) != "whole" || rsp.Status != 201 {
+		t.Errorf("answer %+v, body %q", rsp, body)
 	}
 	req.ID = "shed"
 	var nre *cardamompass.NotRunError
--- a/internal/edge/oper/ticket.go
+++ b/internal/edge/oper/ticket.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// MaxNameBytes bounds the name of a VM in a ticket and the request id of an operation.
+	// MaxNameBytes bounds the id of a VM in a ticket and the request id of an operation.
 	MaxNameBytes = 128
 
-	// ticketPast and ticketAhead bound the issue time of an accepted ticket against the home's own time.
-	ticketPast  = 5 * time.Minute
-	ticketAhead = 30 * time.Second
+	// ticketMaxAge and ticketMaxAhead bound the issue time of an accepted ticket relative to the home's clock.
+	ticketMaxAge   = 5 * time.Minute
+	ticketMaxAhead = 30 * time.Second
 )
 
 // Ticket binds operations to one incarnation of one entry VM, their home. Its text form is
 // "VM/incarnation/issued-unix-ms". It is immutable and comparable.
 type Ticket struct {
-	// Home is the VM that alone may send the operation to a target.
+	// Home is the only VM that may send the operation to a target.
 	Home cardamompass.VMID
-	// Incarnation is the run of the home's process.
+	// Incarnation is the incarnation of the home's process.
 	Incarnation cardamompass.Incarnation
-	// IssuedMs is the time of issue in milliseconds since the Unix epoch, by the clock of the VM that issued it.
+	// IssuedMs is the time of issue by the clock of the issuing VM, in milliseconds since the Unix epoch.
 	IssuedMs int64
 }
 
@@ -75,9 +75,9 @@
 		strconv.FormatInt(tkt.IssuedMs, 10)
 }
 
-// run returns the home and incarnation of the ticket.
-func (tkt Ticket) run() runID {
-	return runID{
+// homeID returns the home and incarnation of the ticket.
+func (tkt Ticket) homeID() homeID {
+	return homeID{
 		home:        tkt.Home,
 		incarnation: tkt.Incarnation,
 	}
@@ -103,8 +103,8 @@
 	Request cardamompass.RequestID
 }
 
-// runID identifies one run of a VM's process.
-type runID struct {
+// homeID identifies one incarnation of a VM's process, the home of operations.
+type homeID struct {
 	home        cardamompass.VMID
 	incarnation cardamompass.Incarnation
 }
--- a/internal/edge/oper/ticket_test.go
+++ b/internal/edge/oper/ticket_test.go
@@ -9,8 +9,7 @@
 	"cardamompass/internal/edge/oper"
 )
 
-// FuzzParseTicket guards against two texts that name one ticket, and against a parser that fails with another error
-// than InvalidError.
+// FuzzParseTicket guards against two text forms of the same ticket, and against parse errors other than InvalidError.
 func FuzzParseTicket(f *testing.F) {
 	seeds := []string{
 		"gulf-1/1700000000000000000/1700000000000", "a/1/1", "", "/", "//", "a/1", "a/1/1/1", "a/01/1", "a/1/+1", "a/0/1",
@@ -32,7 +31,7 @@
 	})
 }
 
-// Guards against a ticket that does not survive its text form.
+// Guards against a ticket that changes when it is formatted and parsed again.
 func TestTicketRoundTrip(t *testing.T) {
 	tkt := oper.Issue(cardamompass.VM{
 		ID:          "gulf-1",
