--- a/internal/edge/lookup/bench_test.go
+++ b/internal/edge/lookup/bench_test.go
@@ -15,7 +15,7 @@
 	"cardamompass/internal/edge/lookup"
 )
 
-// targetBlocks is the number of client blocks at the target size, targetSites the number of sites.
+// targetBlocks and targetSites are the numbers of client blocks and sites for which the system is designed.
 const (
 	targetBlocks = 2_800_000
 	targetSites  = 89
@@ -41,22 +41,22 @@
 	return blocks
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var mst runtime.MemStats
 	runtime.ReadMemStats(&mst)
 	return mst.HeapAlloc
 }
 
-// BenchmarkTable measures memory, look-up and update at the target size.
+// BenchmarkTable measures memory, reads and updates of a table of targetBlocks blocks.
 func BenchmarkTable(b *testing.B) {
 	blocks := scatteredBlocks()
-	before := heap()
+	before := heapBytes()
 	tbl, err := lookup.NewTable(blocks)
 	if err != nil {
 		b.Fatal(err)
 	}
-	size := float64(heap()-before) / (1 << 20)
+	size := float64(heapBytes()-before) / (1 << 20)
 	rnd := rand.New(rand.NewSource(2))
 	addrs := make([]netip.Addr, 1<<16)
 	for num := range addrs {
@@ -91,27 +91,27 @@
 	runtime.KeepAlive(blocks)
 }
 
-// BenchmarkAnswer measures one look-up without its HTTP exchange.
+// BenchmarkAnswer measures one look-up with a cached response, without the HTTP exchange.
 func BenchmarkAnswer(b *testing.B) {
-	ans := lookup.New(lookup.Config{
+	rsv := lookup.New(lookup.Config{
 		Clock:         cardamompass.SystemClock{},
 		MaxAge:        5 * time.Second,
 		IssueTicket:   func(vm cardamompass.VM, _ time.Time) string { return string(vm.ID) },
 		DefaultRegion: "gulf",
 	})
-	ans.SetView(sevenVMs())
-	qst := lookup.Query{
+	rsv.SetView(sevenVMs())
+	qry := lookup.Query{
 		Service: "kiosk-core",
 		Client:  netip.MustParseAddr("10.1.2.3"),
 	}
 	for b.Loop() {
-		if _, err := ans.Resolve(qst); err != nil {
+		if _, err := rsv.Resolve(qry); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// secondClock advances by a second with each reading, so that no answer is reused.
+// secondClock advances by a second with each reading, so that no cached response is used.
 type secondClock struct{ now time.Time }
 
 func (clk *secondClock) Now() time.Time {
@@ -123,7 +123,7 @@
 	return cardamompass.SystemClock{}.NewTimer(dur)
 }
 
-// fleetView has the given numbers of entry VMs and regions; each region is near all others.
+// fleetView returns a view with the given numbers of entry VMs and regions. The fallback regions of a region are all others.
 func fleetView(vms, regions int) (view lookup.View) {
 	view = lookup.View{
 		Regions:  make(map[cardamompass.Region]cardamompass.RegionInfo),
@@ -145,22 +145,22 @@
 	return view
 }
 
-// BenchmarkBuild measures an answer that is made anew, by the size of the fleet and the number of regions, and the
-// size of an answer.
+// BenchmarkBuild measures the time to build a response that is not cached, and its size, by the numbers of entry VMs and
+// regions.
 func BenchmarkBuild(b *testing.B) {
 	for _, size := range []struct{ vms, regions int }{{7, 3}, {50, 4}, {200, 4}, {430, 4}, {430, 89}} {
 		b.Run(fmt.Sprintf("vms=%d/regions=%d", size.vms, size.regions), func(b *testing.B) {
-			ans := lookup.New(lookup.Config{
+			rsv := lookup.New(lookup.Config{
 				Clock:  &secondClock{},
 				MaxAge: 5 * time.Second,
 				IssueTicket: func(vm cardamompass.VM, _ time.Time) string {
 					return string(vm.ID) + "/1790000000000000000/1790000000000"
 				},
 			})
-			ans.SetView(fleetView(size.vms, size.regions))
+			rsv.SetView(fleetView(size.vms, size.regions))
 			var bytes int
 			for b.Loop() {
-				data, err := ans.Resolve(lookup.Query{
+				data, err := rsv.Resolve(lookup.Query{
 					Service: "kiosk-core",
 					Region:  "region-01",
 				})
@@ -181,12 +181,12 @@
 		b.Run(fmt.Sprintf("blocks=%d", count), func(b *testing.B) {
 			var size uint64
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				tbl, err := lookup.NewTable(all[:count])
 				if err != nil {
 					b.Fatal(err)
 				}
-				size = heap() - before
+				size = heapBytes() - before
 				runtime.KeepAlive(tbl)
 			}
 			b.ReportMetric(float64(size)/(1<<20), "MiB")
--- a/internal/edge/lookup/block.go
+++ b/internal/edge/lookup/block.go
@@ -13,9 +13,9 @@
 
 const (
 	shards = 256
-	// maxRegions bounds the distinct regions or sites of a table; an entry holds the index in two bytes.
+	// maxRegions bounds the distinct regions or sites of a table, since a range stores the index in two bytes.
 	maxRegions = 1 << 16
-	// noRegion is the index of addresses that no block covers.
+	// noRegion is the region index of addresses that no block covers.
 	noRegion = 0
 )
 
@@ -25,26 +25,26 @@
 	Region cardamompass.Region
 }
 
-// Table finds the region of a client address. It is immutable, so readers never wait; an update makes a new table that
-// shares the unchanged shards. A shard holds the addresses with one first byte as sorted, disjoint ranges, 6 bytes for
-// each range: 2.8 million scattered blocks need 20 MB, where the trie of the library bart needs 71 MB.
+// Table maps client addresses to regions. It is immutable, so that reads need no lock; an update returns a new table that
+// shares the unchanged shards. A shard holds the addresses with one first byte as sorted, disjoint ranges of 6 bytes
+// each: 2.8 million scattered blocks need 20 MB, where the trie of the library bart needs 71 MB.
 type Table struct {
 	regions []cardamompass.Region
-	four    [shards]*shard
-	six     *shard
+	ipv4    [shards]*shard
+	ipv6    *shard
 }
 
 // shard is a sorted list of ranges. A range goes from its start to the start of the next one.
 type shard struct {
-	starts []uint32 // IPv4 only: the low 24 bits of the address
-	wide   []uint64 // IPv6 only: the high 64 bits of the address
-	region []uint16
-	// second[b] is the number of ranges that start below second byte b; it bounds the search for IPv4.
-	second [shards + 1]uint32
+	starts4 []uint32 // IPv4 only: the low 24 bits of the address
+	starts6 []uint64 // IPv6 only: the high 64 bits of the address
+	regions []uint16
+	// offsets[b] is the number of IPv4 ranges whose start has a second byte less than b. It narrows the binary search.
+	offsets [shards + 1]uint32
 }
 
-// NewTable returns the table of the given blocks. Where blocks are nested the longest prefix wins; the later of two
-// equal prefixes wins. IPv6 prefixes longer than 64 bits are an InvalidError.
+// NewTable returns a table of the given blocks. The longest matching prefix wins, and the later of two equal prefixes.
+// An IPv6 prefix longer than 64 bits is an InvalidError.
 func NewTable(blocks []Block) (tbl *Table, err error) {
 	defer func() { err = errors.Wrap(err, "make client-block table") }()
 	bld := newBuilder([]cardamompass.Region{""})
@@ -54,15 +54,15 @@
 	}
 	tbl = &Table{}
 	for num := range parts {
-		tbl.four[num] = newShard(parts[num], false)
+		tbl.ipv4[num] = newShard(parts[num], false)
 	}
-	tbl.six = newShard(six, true)
+	tbl.ipv6 = newShard(six, true)
 	tbl.regions = bld.regions
 	return tbl, nil
 }
 
-// WithShard returns a copy in which the IPv4 addresses with the given first byte have exactly the given blocks. Each
-// block must lie within that first byte.
+// WithShard returns a copy in which the given blocks replace all blocks of the IPv4 addresses with the given first byte.
+// Each block must lie within that /8.
 func (tbl *Table) WithShard(first byte, blocks []Block) (res *Table, err error) {
 	defer func() { err = errors.Wrapf(err, "replace blocks of %d.0.0.0/8", first) }()
 	for _, blk := range blocks {
@@ -80,10 +80,10 @@
 	}
 	res = &Table{
 		regions: bld.regions,
-		four:    tbl.four,
-		six:     tbl.six,
+		ipv4:    tbl.ipv4,
+		ipv6:    tbl.ipv6,
 	}
-	res.four[first] = newShard(parts[first], false)
+	res.ipv4[first] = newShard(parts[first], false)
 	return res, nil
 }
 
@@ -94,21 +94,22 @@
 	switch {
 	case addr.Is4():
 		oct := addr.As4()
-		num = tbl.four[oct[0]].find4(binary.BigEndian.Uint32(oct[:]) & (1<<24 - 1))
+		num = tbl.ipv4[oct[0]].find4(binary.BigEndian.Uint32(oct[:]) & (1<<24 - 1))
 	case addr.Is6():
 		full := addr.As16()
-		num = tbl.six.find6(binary.BigEndian.Uint64(full[:8]))
+		num = tbl.ipv6.find6(binary.BigEndian.Uint64(full[:8]))
 	}
 	return tbl.regions[num], num != noRegion
 }
 
 func (shd *shard) find4(low uint32) uint16 {
 	second := low >> 16
-	from, to := int(shd.second[second]), int(shd.second[second+1])
-	// The range that covers low may start below the second byte, hence the step back.
+	from, to := int(shd.offsets[second]), int(shd.offsets[second+1])
+	// The search finds the first range that starts after low. The range before it covers low, and may start below the
+	// second byte of low.
 	for from < to {
 		mid := int(uint(from+to) >> 1)
-		if shd.starts[mid] <= low {
+		if shd.starts4[mid] <= low {
 			from = mid + 1
 		} else {
 			to = mid
@@ -117,21 +118,21 @@
 	if from == 0 {
 		return noRegion
 	}
-	return shd.region[from-1]
+	return shd.regions[from-1]
 }
 
 func (shd *shard) find6(high uint64) uint16 {
-	pos, found := slices.BinarySearch(shd.wide, high)
+	pos, found := slices.BinarySearch(shd.starts6, high)
 	if !found {
 		pos--
 	}
 	if pos < 0 {
 		return noRegion
 	}
-	return shd.region[pos]
+	return shd.regions[pos]
 }
 
-// span is a prefix as an inclusive range of keys.
+// span is a prefix as an inclusive range of keys: the low 24 bits of an IPv4 or the high 64 bits of an IPv6 address.
 type span struct {
 	first, last uint64
 	bits        int
@@ -162,7 +163,7 @@
 	if len(bld.regions) == maxRegions {
 		return 0, &cardamompass.InvalidError{
 			Field:  string(reg),
-			Reason: "is one region too many; a table holds 65535",
+			Reason: "exceeds the limit of 65535 regions in a table",
 		}
 	}
 	num = uint16(len(bld.regions))
@@ -171,7 +172,7 @@
 	return num, nil
 }
 
-// split turns blocks into the spans of each IPv4 shard and those of IPv6.
+// split converts blocks to the spans of each IPv4 shard and of the IPv6 shard.
 func (bld *builder) split(blocks []Block) (four [shards][]span, six []span, err error) {
 	for pos, blk := range blocks {
 		num, err := bld.number(blk.Region)
@@ -219,9 +220,9 @@
 	}
 }
 
-// newShard flattens nested spans into disjoint ranges with one sweep: outer spans come first and are resumed after the
-// inner ones that they contain.
-func newShard(spans []span, wide bool) *shard {
+// newShard flattens nested spans into disjoint ranges in one sweep. Outer spans sort before the spans that they contain,
+// and continue after the end of these.
+func newShard(spans []span, ipv6 bool) *shard {
 	slices.SortFunc(spans, func(one, two span) int {
 		return cmp.Or(cmp.Compare(one.first, two.first), cmp.Compare(one.bits, two.bits), cmp.Compare(one.order, two.order))
 	})
@@ -238,56 +239,56 @@
 			if len(open) > 0 {
 				outer = open[len(open)-1].region
 			}
-			shd.add(end+1, outer, wide)
+			shd.add(end+1, outer, ipv6)
 		}
 	}
 	for _, spn := range spans {
 		closeUpTo(spn.first)
-		shd.add(spn.first, spn.region, wide)
+		shd.add(spn.first, spn.region, ipv6)
 		open = append(open, spn)
 	}
 	closeUpTo(^uint64(0))
-	shd.finish(wide)
+	shd.seal(ipv6)
 	return shd
 }
 
-// add appends a range, or overwrites the last one when it would be empty.
-func (shd *shard) add(start uint64, region uint16, wide bool) {
-	if !wide && start >= 1<<24 {
+// add appends a range, or overwrites the last one if that would be empty. It merges adjacent ranges of the same region.
+func (shd *shard) add(start uint64, region uint16, ipv6 bool) {
+	if !ipv6 && start >= 1<<24 {
 		return
 	}
-	last := len(shd.region) - 1
+	last := len(shd.regions) - 1
 	if last >= 0 {
-		same := wide && shd.wide[last] == start || !wide && uint64(shd.starts[last]) == start
+		same := ipv6 && shd.starts6[last] == start || !ipv6 && uint64(shd.starts4[last]) == start
 		if same {
-			shd.region[last] = region
+			shd.regions[last] = region
 			return
 		}
-		if shd.region[last] == region {
+		if shd.regions[last] == region {
 			return
 		}
 	}
-	if wide {
-		shd.wide = append(shd.wide, start)
+	if ipv6 {
+		shd.starts6 = append(shd.starts6, start)
 	} else {
-		shd.starts = append(shd.starts, uint32(start))
+		shd.starts4 = append(shd.starts4, uint32(start))
 	}
-	shd.region = append(shd.region, region)
+	shd.regions = append(shd.regions, region)
 }
 
-func (shd *shard) finish(wide bool) {
-	shd.starts = slices.Clip(shd.starts)
-	shd.wide = slices.Clip(shd.wide)
-	shd.region = slices.Clip(shd.region)
-	if wide {
+func (shd *shard) seal(ipv6 bool) {
+	shd.starts4 = slices.Clip(shd.starts4)
+	shd.starts6 = slices.Clip(shd.starts6)
+	shd.regions = slices.Clip(shd.regions)
+	if ipv6 {
 		return
 	}
 	pos := 0
 	for second := range shards {
-		for pos < len(shd.starts) && shd.starts[pos]>>16 < uint32(second) {
+		for pos < len(shd.starts4) && shd.starts4[pos]>>16 < uint32(second) {
 			pos++
 		}
-		shd.second[second] = uint32(pos)
+		shd.offsets[second] = uint32(pos)
 	}
-	shd.second[shards] = uint32(len(shd.starts))
+	shd.offsets[shards] = uint32(len(shd.starts4))
 }
--- a/internal/edge/lookup/lookup.go
+++ b/internal/edge/lookup/lookup.go
@@ -1,10 +1,11 @@
-// Package lookup answers the question which entry VMs a caller should use.
+// Package lookup answers look-ups, with which callers find the entry VMs that they should use.
 //
-// An answer lists serving entry VMs of the caller's region first and those of the regions near it after them, with
-// neighbouring places of the list in different failure domains. Suspect VMs come last, VMs in a planned stop are left
-// out. Callers of one region get the same VMs in rotated order, so that their load spreads.
+// A response lists serving entry VMs of the caller's region first, then those of its fallback regions, with consecutive
+// VMs in different failure domains. Suspect VMs come last, and VMs in a planned stop are omitted. Callers of one region
+// get the VMs in different rotations, which distributes their load.
 //
-// Answers are built from an immutable view and kept for a second, because the target size has 310,000 look-ups a second.
+// Responses are built from an immutable view and cached for a second, since the system is designed for 310,000 look-ups
+// a second.
 package lookup
 
 import (
@@ -22,15 +23,15 @@
 )
 
 const (
-	// MaxVMs is the longest list of an answer.
+	// MaxVMs is the maximum number of VMs in a response.
 	MaxVMs = 5
-	// rotations bounds the different orders that callers of one region get.
-	rotations = 64
-	// bodyLifetime is the time for which an answer is reused. A ticket in it is at most this old when it is handed out.
-	bodyLifetime = time.Second
+	// rotationCount is the number of different rotations of the list for callers of one region.
+	rotationCount = 64
+	// responseTTL is the time for which a response is cached. It bounds the age of the ticket in the response.
+	responseTTL = time.Second
 )
 
-// VMRecord is one entry VM in an answer.
+// VMRecord is one entry VM in a response.
 type VMRecord struct {
 	ID            cardamompass.VMID          `json:"id"`
 	Address       string                     `json:"address"`
@@ -38,7 +39,7 @@
 	FailureDomain cardamompass.FailureDomain `json:"failure-domain"`
 }
 
-// Response is the answer to a look-up.
+// Response is the JSON response to a look-up.
 type Response struct {
 	VMs              []VMRecord          `json:"vms"`
 	MaxAgeMillis     int64               `json:"max-age-ms"`
@@ -47,27 +48,27 @@
 	CatalogueVersion int64               `json:"catalogue-version"`
 }
 
-// View is what answers are made from. It is immutable.
+// View is the snapshot of the membership and the catalogue from which responses are built. It is immutable.
 type View struct {
 	// Members are all known entry VMs.
 	Members []cardamompass.Member
-	// Regions are the regions of the catalogue.
+	// Regions holds the regions of the catalogue by name.
 	Regions map[cardamompass.Region]cardamompass.RegionInfo
-	// Services are the names of the services of the catalogue.
+	// Services is the set of services of the catalogue.
 	Services map[cardamompass.ServiceName]bool
 	// Blocks maps client addresses to regions.
 	Blocks *Table
-	// CatalogueVersion is the version of the catalogue in force.
+	// CatalogueVersion is the version of the active catalogue.
 	CatalogueVersion int64
 }
 
 // Config configures a Resolver.
 type Config struct {
-	// Clock tells the time.
+	// Clock provides the time.
 	Clock cardamompass.Clock
-	// MaxAge is the time for which callers may use an answer.
+	// MaxAge is the time for which callers may use a response.
 	MaxAge time.Duration
-	// IssueTicket makes the ticket for operations whose home is the given VM.
+	// IssueTicket returns a ticket for operations whose home is the given VM.
 	IssueTicket func(vm cardamompass.VM, now time.Time) string
 	// DefaultRegion is the region of callers that no block covers and that name no region.
 	DefaultRegion cardamompass.Region
@@ -79,111 +80,111 @@
 	view atomic.Pointer[state]
 }
 
-// state is a view with the answers that were made from it.
+// state is a view with the cached responses that were built from it.
 type state struct {
-	view   View
-	bodies sync.Map // bodyKey -> body
+	view      View
+	responses sync.Map // bodyKey -> body
 }
 
-type bodyKey struct {
+type responseKey struct {
 	region   cardamompass.Region
 	rotation int
 }
 
-type body struct {
-	made time.Time
-	data []byte
+type cachedResponse struct {
+	builtAt time.Time
+	data    []byte
 }
 
 // New returns a Resolver with an empty view.
 func New(cfg Config) *Resolver {
-	ans := &Resolver{
+	rsv := &Resolver{
 		cfg: cfg,
 	}
-	ans.SetView(View{})
-	return ans
+	rsv.SetView(View{})
+	return rsv
 }
 
-// SetView replaces the view. Later answers are made from it.
-func (ans *Resolver) SetView(view View) {
-	ans.view.Store(&state{
+// SetView replaces the view and discards the cached responses.
+func (rsv *Resolver) SetView(view View) {
+	rsv.view.Store(&state{
 		view: view,
 	})
 }
 
-// Query is one look-up.
+// Query holds the parameters of a look-up.
 type Query struct {
 	Service cardamompass.ServiceName
-	// Client is the caller's address; the zero value means that it is not known.
+	// Client is the caller's address; the zero value if it is not known.
 	Client netip.Addr
-	// Region is the caller's region if it says so itself; otherwise the client blocks tell.
+	// Region is the region that the caller declares; if it is empty, the region is determined from Client.
 	Region cardamompass.Region
 }
 
-// Resolve returns the JSON form of the Response to qst. The caller must not modify it.
+// Resolve returns the JSON form of the Response to qry. The caller must not modify it.
 // Errors: InvalidError for an unknown service or region, NotRunError while no catalogue or no entry VM is known.
-func (ans *Resolver) Resolve(qst Query) (data []byte, err error) {
-	sta := ans.view.Load()
+func (rsv *Resolver) Resolve(qry Query) (data []byte, err error) {
+	sta := rsv.view.Load()
 	if len(sta.view.Services) == 0 {
 		return nil, &cardamompass.NotRunError{
 			Reason: "no catalogue yet",
 		}
 	}
-	if !sta.view.Services[qst.Service] {
+	if !sta.view.Services[qry.Service] {
 		return nil, &cardamompass.InvalidError{
 			Field:  "service",
-			Reason: "is not in the catalogue: " + string(qst.Service),
+			Reason: "is not in the catalogue: " + string(qry.Service),
 		}
 	}
-	reg, err := ans.region(sta.view, qst)
+	reg, err := rsv.region(sta.view, qry)
 	if err != nil {
 		return nil, err
 	}
-	key := bodyKey{
+	key := responseKey{
 		region:   reg,
-		rotation: rotation(qst.Client),
+		rotation: rotation(qry.Client),
 	}
-	now := ans.cfg.Clock.Now()
-	if held, ok := sta.bodies.Load(key); ok {
-		if bdy := held.(body); now.Sub(bdy.made) < bodyLifetime {
-			return bdy.data, nil
+	now := rsv.cfg.Clock.Now()
+	if held, ok := sta.responses.Load(key); ok {
+		if cch := held.(cachedResponse); now.Sub(cch.builtAt) < responseTTL {
+			return cch.data, nil
 		}
 	}
-	data, err = ans.build(sta.view, key, now)
+	data, err = rsv.build(sta.view, key, now)
 	if err != nil {
 		return nil, err
 	}
-	sta.bodies.Store(key, body{
-		made: now,
-		data: data,
+	sta.responses.Store(key, cachedResponse{
+		builtAt: now,
+		data:    data,
 	})
 	return data, nil
 }
 
-// CallerRegion returns the region of a caller by its own word, else by its address, else the configured one.
-func (ans *Resolver) CallerRegion(said cardamompass.Region, client netip.Addr) (reg cardamompass.Region, err error) {
-	return ans.region(ans.view.Load().view, Query{
+// CallerRegion returns the region that the caller declares, else the region of its address, else the default region.
+func (rsv *Resolver) CallerRegion(declared cardamompass.Region, client netip.Addr) (reg cardamompass.Region, err error) {
+	return rsv.region(rsv.view.Load().view, Query{
 		Client: client,
-		Region: said,
+		Region: declared,
 	})
 }
 
-func (ans *Resolver) region(view View, qst Query) (reg cardamompass.Region, err error) {
-	if qst.Region != "" {
-		if _, ok := view.Regions[qst.Region]; !ok {
+func (rsv *Resolver) region(view View, qry Query) (reg cardamompass.Region, err error) {
+	if qry.Region != "" {
+		if _, ok := view.Regions[qry.Region]; !ok {
 			return "", &cardamompass.InvalidError{
 				Field:  "region",
-				Reason: "is not in the catalogue: " + string(qst.Region),
+				Reason: "is not in the catalogue: " + string(qry.Region),
 			}
 		}
-		return qst.Region, nil
+		return qry.Region, nil
 	}
-	if view.Blocks != nil && qst.Client.IsValid() {
-		if reg, ok := view.Blocks.Region(qst.Client); ok {
+	if view.Blocks != nil && qry.Client.IsValid() {
+		if reg, ok := view.Blocks.Region(qry.Client); ok {
 			return reg, nil
 		}
 	}
-	return ans.cfg.DefaultRegion, nil
+	return rsv.cfg.DefaultRegion, nil
 }
 
 func rotation(client netip.Addr) int {
@@ -191,10 +192,10 @@
 		return 0
 	}
 	oct := client.As16()
-	return int(xxhash.Sum64(oct[:]) % rotations)
+	return int(xxhash.Sum64(oct[:]) % rotationCount)
 }
 
-func (ans *Resolver) build(view View, key bodyKey, now time.Time) (data []byte, err error) {
+func (rsv *Resolver) build(view View, key responseKey, now time.Time) (data []byte, err error) {
 	defer func() { err = errors.Wrap(err, "answer look-up") }()
 	list := Order(view, key.region, key.rotation)
 	if len(list) == 0 {
@@ -203,8 +204,8 @@
 		}
 	}
 	rsp := Response{
-		MaxAgeMillis:     ans.cfg.MaxAge.Milliseconds(),
-		Ticket:           ans.cfg.IssueTicket(list[0], now),
+		MaxAgeMillis:     rsv.cfg.MaxAge.Milliseconds(),
+		Ticket:           rsv.cfg.IssueTicket(list[0], now),
 		CallerRegion:     key.region,
 		CatalogueVersion: view.CatalogueVersion,
 	}
@@ -219,26 +220,26 @@
 	return json.Marshal(rsp)
 }
 
-// Order returns the entry VMs for callers of a region, at most MaxVMs, in the given rotation of 64. When the region has
-// MaxVMs or more, the last place goes to a VM of a near region, so that a caller still has one when its region fails.
+// Order returns at most MaxVMs entry VMs for callers of a region, in the given rotation of rotationCount. At most MaxVMs-1
+// alive VMs of the region itself are listed, so that a caller still has a VM of a fallback region when its region fails.
 func Order(view View, reg cardamompass.Region, rot int) (list []cardamompass.VM) {
-	near := append([]cardamompass.Region{reg}, view.Regions[reg].FallbackRegions...)
+	candidates := append([]cardamompass.Region{reg}, view.Regions[reg].FallbackRegions...)
 	var suspects []cardamompass.VM
-	for pos, nbr := range near {
-		alive, doubtful := serving(view.Members, nbr)
-		ordered := alternate(alive, rot)
-		suspects = append(suspects, doubtful...)
-		room := MaxVMs - len(list)
+	for pos, nbr := range candidates {
+		alive, suspect := serving(view.Members, nbr)
+		ordered := interleaveDomains(alive, rot)
+		suspects = append(suspects, suspect...)
+		limit := MaxVMs - len(list)
 		if pos == 0 {
-			room = min(room, MaxVMs-1)
+			limit = min(limit, MaxVMs-1)
 		}
-		list = append(list, ordered[:min(room, len(ordered))]...)
+		list = append(list, ordered[:min(limit, len(ordered))]...)
 	}
 	list = append(list, suspects[:min(len(suspects), MaxVMs-len(list))]...)
 	return list
 }
 
-// serving returns the alive and the suspect VMs of a region, in the order of their ids.
+// serving returns the alive and the suspect VMs of a region, in the order of members.
 func serving(members []cardamompass.Member, reg cardamompass.Region) (alive, suspects []cardamompass.VM) {
 	for _, mbr := range members {
 		switch {
@@ -252,9 +253,9 @@
 	return alive, suspects
 }
 
-// alternate orders VMs so that neighbours are in different failure domains while more than one domain has VMs left.
-// The rotation chooses the first VM; each VM is first in an equal part of the rotations.
-func alternate(vms []cardamompass.VM, rot int) (ordered []cardamompass.VM) {
+// interleaveDomains orders VMs so that consecutive VMs are in different failure domains as far as possible. The rotation
+// selects the first VM; each VM is first in an equal share of the rotations.
+func interleaveDomains(vms []cardamompass.VM, rot int) (ordered []cardamompass.VM) {
 	if len(vms) == 0 {
 		return nil
 	}
--- a/internal/edge/lookup/lookup_test.go
+++ b/internal/edge/lookup/lookup_test.go
@@ -29,7 +29,7 @@
 			})
 			continue
 		}
-		// Few different first bytes make nested and adjacent prefixes likely.
+		// A small number of different first bytes makes nested and adjacent prefixes likely.
 		oct := [4]byte{byte(10 + rnd.Intn(3)), byte(rnd.Intn(4)), byte(rnd.Intn(256)), byte(rnd.Intn(256))}
 		blocks = append(blocks, lookup.Block{
 			Prefix: netip.PrefixFrom(netip.AddrFrom4(oct), 4+rnd.Intn(29)).Masked(),
@@ -39,7 +39,7 @@
 	return blocks
 }
 
-// Guards against a wrong region for an address in nested, adjacent or uncovered blocks: differential against a trie.
+// Guards against a wrong region for an address in nested or adjacent blocks, or outside all blocks, by comparison with a trie.
 func TestTableAgreesWithTrie(t *testing.T) {
 	t.Logf("seed %d; set it with -lookup-seed", *seed)
 	rnd := rand.New(rand.NewSource(*seed))
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards against an update of one shard that changes, or fails to change, other addresses.
+// Guards against an update of one shard that changes addresses of other shards or misses addresses of its own.
 func TestWithShardReplacesOneFirstByte(t *testing.T) {
 	tbl, err := lookup.NewTable([]lookup.Block{
 		{Prefix: netip.MustParsePrefix("10.0.0.0/8"), Region: "gulf"},
@@ -127,7 +127,8 @@
 	}
 }
 
-// Guards against two first VMs that fail together, a leaving VM in an answer, and a suspect before a VM that answers.
+// Guards against a list whose first two VMs share a failure domain, that contains a leaving VM, or that has a suspect VM
+// before an alive one.
 func TestOrder(t *testing.T) {
 	view := sevenVMs()
 	firsts := map[cardamompass.VMID]int{}
@@ -154,24 +155,24 @@
 	}
 }
 
-// Guards against a guess in place of a refusal, and against a stale answer after a change of the view.
+// Guards against a response to a look-up that should be refused, and against a stale response after a change of the view.
 func TestAnswer(t *testing.T) {
-	ans := lookup.New(lookup.Config{
+	rsv := lookup.New(lookup.Config{
 		Clock:         cardamompass.SystemClock{},
 		MaxAge:        5 * time.Second,
 		IssueTicket:   func(vm cardamompass.VM, _ time.Time) string { return string(vm.ID) + "/1/1" },
 		DefaultRegion: "gulf",
 	})
-	qst := lookup.Query{
+	qry := lookup.Query{
 		Service: "kiosk-core",
 		Region:  "delta",
 	}
 	var nrn *cardamompass.NotRunError
-	if _, err := ans.Resolve(qst); !errors.As(err, &nrn) {
+	if _, err := rsv.Resolve(qry); !errors.As(err, &nrn) {
 		t.Fatalf("without a catalogue: got %v, want a NotRunError", err)
 	}
-	ans.SetView(sevenVMs())
-	data, err := ans.Resolve(qst)
+	rsv.SetView(sevenVMs())
+	data, err := rsv.Resolve(qry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,18 +181,18 @@
 		t.Fatal(err)
 	}
 	if rsp.VMs[0].Region != "delta" || rsp.Ticket != string(rsp.VMs[0].ID)+"/1/1" || rsp.MaxAgeMillis != 5000 {
-		t.Errorf("answer %+v", rsp)
+		t.Errorf("response %+v", rsp)
 	}
 	var inv *cardamompass.InvalidError
 	for _, bad := range []lookup.Query{{Service: "nowhere"}, {Service: "kiosk-core", Region: "nowhere"}} {
-		if _, err := ans.Resolve(bad); !errors.As(err, &inv) {
+		if _, err := rsv.Resolve(bad); !errors.As(err, &inv) {
 			t.Errorf("%+v: got %v, want an InvalidError", bad, err)
 		}
 	}
 	view := sevenVMs()
 	view.Members = view.Members[:1]
-	ans.SetView(view)
-	data, err = ans.Resolve(qst)
+	rsv.SetView(view)
+	data, err = rsv.Resolve(qry)
 	if err != nil {
 		t.Fatal(err)
 	}
