--- a/cmd/entryvm/explain.go
+++ b/cmd/entryvm/explain.go
@@ -9,13 +9,13 @@
 	"cardamompass/internal/obs/trace"
 )
 
-// ExplainCmd tells the story of a request.
+// ExplainCmd explains from log files how a request was handled and why it ended as it did.
 type ExplainCmd struct {
 	Request string   `arg:"" help:"Id of the request."`
 	Logs    []string `arg:"" optional:"" help:"Log files of one or more VMs; standard input if none is given." type:"existingfile"`
 }
 
-// Run prints the lines of the request in order, what its VMs believed, and the cause of its end.
+// Run prints the preceding state changes of the request's VMs, the lines of the request sorted by time, and the cause.
 func (cmd *ExplainCmd) Run() (err error) {
 	logs := []io.Reader{os.Stdin}
 	if len(cmd.Logs) > 0 {
@@ -26,23 +26,23 @@
 		if err != nil {
 			return err
 		}
-		defer fil.Close() //nolint:errcheck // only read
+		defer fil.Close() //nolint:errcheck // opened for reading only
 		logs = append(logs, fil)
 	}
-	sty, err := trace.Read(cmd.Request, logs...)
+	tml, err := trace.Read(cmd.Request, logs...)
 	if err != nil {
 		return err
 	}
-	for _, lin := range sty.StateChanges {
+	for _, lin := range tml.StateChanges {
 		printLine("before ", lin)
 	}
-	for _, lin := range sty.Lines {
+	for _, lin := range tml.Lines {
 		printLine("request", lin)
 	}
-	if sty.Unreadable > 0 {
-		fmt.Printf("%d lines could not be read\n", sty.Unreadable)
+	if tml.Unreadable > 0 {
+		fmt.Printf("%d lines could not be parsed\n", tml.Unreadable)
 	}
-	fmt.Println("cause:", sty.Cause())
+	fmt.Println("cause:", tml.Cause())
 	return nil
 }
 
--- a/cmd/entryvm/main.go
+++ b/cmd/entryvm/main.go
@@ -1,4 +1,4 @@
-// Command entryvm is the process of an entry VM on the users' platform.
+// Command entryvm runs an entry VM on the users' platform, and has tools for its settings and logs.
 package main
 
 import (
@@ -7,11 +7,11 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands is the command line.
+// commands defines the command line.
 type commands struct {
 	Serve   ServeCmd   `cmd:"" default:"withargs" help:"Run the entry VM."`
 	Check   CheckCmd   `cmd:"" help:"Check a settings file in the platform's format."`
-	Explain ExplainCmd `cmd:"" help:"Tell from logs why a request ended as it did."`
+	Explain ExplainCmd `cmd:"" help:"Explain from logs why a request ended as it did."`
 }
 
 func main() {
@@ -28,7 +28,7 @@
 	File string `arg:"" help:"Settings file." type:"path"`
 }
 
-// settingsPath is the path of the settings file: the flag's value or that of the environment variable.
+// settingsPath returns the path of the settings file: the value of the flag or else of the environment variable.
 func settingsPath(flag, variable string) (path string) {
 	if flag != "" {
 		return flag
--- a/cmd/entryvm/serve.go
+++ b/cmd/entryvm/serve.go
@@ -21,15 +21,17 @@
 )
 
 const (
-	// linesPerSecond bounds the log lines with the same message in a second. Lines of failed and refused requests have messages of their
-	// own, so that lines of good requests never displace them.
+	// linesPerSecond is the rate limit of log lines with the same message. Failed and refused requests have messages of
+	// their own, so that the lines of successful requests never displace theirs.
 	linesPerSecond = 200
-	// storeSilence ends a connection to the store that does not confirm what was sent.
-	storeSilence = time.Second
-	// settingsInterval is the time between two looks at the settings file, which may change without a signal.
+	// storeUserTimeout is the TCP user timeout of connections to the store, the longest time that sent data may stay
+	// unacknowledged.
+	storeUserTimeout = time.Second
+	// settingsInterval is the interval at which the settings file is checked for a change, since it may change without a signal.
 	settingsInterval = time.Second
-	// memoryPart is the part of the memory limit at which the garbage collector works harder.
-	memoryPart = 0.6
+	// memoryFraction is the fraction of the memory limit that is set as the soft memory limit of the Go runtime, near which
+	// the garbage collector runs more often.
+	memoryFraction = 0.6
 )
 
 // ServeCmd runs an entry VM.
@@ -38,7 +40,7 @@
 	LogLevel string `help:"Lowest level of log lines." default:"info" enum:"debug,info,warn,error"`
 }
 
-// Run serves until SIGTERM or SIGINT asks for a planned stop, and returns when that is done.
+// Run serves until SIGTERM or SIGINT requests a planned stop, and returns when the stop is complete.
 func (cmd *ServeCmd) Run() (err error) {
 	path := settingsPath(cmd.Settings, platform.SettingsVariable)
 	set, err := platform.LoadSettings(path)
@@ -81,7 +83,7 @@
 	if limit <= 0 {
 		return math.MaxInt64
 	}
-	return int64(memoryPart * float64(limit))
+	return int64(memoryFraction * float64(limit))
 }
 
 func newNode(
@@ -91,7 +93,7 @@
 	reg, closeRegistry := platform.NewRegistry(platform.RegistryConfig{
 		Address: set.StoreAddress,
 		Regions: set.Regions,
-		Dial:    send.Dialer(storeSilence),
+		Dial:    send.Dialer(storeUserTimeout),
 		Called: func(call, result string) {
 			calls.Tagged(map[string]string{
 				"call":   call,
@@ -119,16 +121,16 @@
 	}, nil
 }
 
-// reloader looks at the settings file again at SIGHUP and when it changes.
+// reloader checks the settings file again on SIGHUP and when its content changes.
 type reloader struct {
 	path string
 	log  *zap.Logger
 	last []byte
 }
 
-// run returns when a signal asks for a planned stop.
+// run returns when a signal requests a planned stop.
 func (rld *reloader) run(signals <-chan os.Signal) {
-	rld.last, _ = os.ReadFile(rld.path) // it was read a moment ago; a failure shows as a change
+	rld.last, _ = os.ReadFile(rld.path) // Run has just loaded it; if this read fails, the next check sees a change
 	tck := time.NewTicker(settingsInterval)
 	defer tck.Stop()
 	for {
@@ -145,14 +147,15 @@
 	}
 }
 
-// reload checks a changed file. Addresses and names hold until the process starts again; a file with a fault changes nothing.
-func (rld *reloader) reload(asked bool) {
+// reload validates the file if it has changed or if requested is set. The process keeps its settings in any case: new ones
+// take effect at the next start.
+func (rld *reloader) reload(requested bool) {
 	data, err := os.ReadFile(rld.path)
 	if err != nil {
 		rld.log.Warn("settings kept", zap.Error(err))
 		return
 	}
-	if bytes.Equal(data, rld.last) && !asked {
+	if bytes.Equal(data, rld.last) && !requested {
 		return
 	}
 	rld.last = data
@@ -160,10 +163,10 @@
 		rld.log.Warn("settings kept", zap.Error(err))
 		return
 	}
-	rld.log.Info("settings checked", zap.Bool("asked", asked))
+	rld.log.Info("settings checked", zap.Bool("asked", requested))
 }
 
-// Run reports that the file is valid, or what is wrong.
+// Run prints that the file is valid, or returns the error.
 func (cmd *CheckCmd) Run() (err error) {
 	set, err := platform.LoadSettings(cmd.File)
 	if err != nil {
--- a/internal/edge/dump/bench_test.go
+++ b/internal/edge/dump/bench_test.go
@@ -9,18 +9,18 @@
 	"cardamompass/internal/edge/dump"
 )
 
-// kept is the number of decisions that an entry VM keeps.
-const kept = 4096
+// capacity is the number of decisions that the log of an entry VM holds.
+const capacity = 4096
 
-// BenchmarkRecentMemory reports the memory of the recent decisions by the number of targets that each names as rejected.
+// BenchmarkRecentMemory reports the memory of a full decision log by the number of rejected targets per decision.
 func BenchmarkRecentMemory(b *testing.B) {
 	for _, rejected := range []int{0, 20, 100, 612} {
 		b.Run(fmt.Sprintf("rejected=%d", rejected), func(b *testing.B) {
 			var size uint64
 			for b.Loop() {
 				before := heapBytes()
-				rct := dump.NewDecisionLog(kept)
-				for num := range kept {
+				dlg := dump.NewDecisionLog(capacity)
+				for num := range capacity {
 					dec := dump.Decision{
 						RequestID: cardamompass.RequestID(fmt.Sprintf("0f8fad5b-d9cb-469f-a165-%012x", num)),
 						Service:   "kiosk-core",
@@ -33,13 +33,13 @@
 							Reason: "target-full",
 						})
 					}
-					rct.Add(dec)
+					dlg.Add(dec)
 				}
 				size = heapBytes() - before
-				runtime.KeepAlive(rct)
+				runtime.KeepAlive(dlg)
 			}
 			b.ReportMetric(float64(size)/(1<<20), "MiB")
-			b.ReportMetric(float64(size)/kept, "B/decision")
+			b.ReportMetric(float64(size)/capacity, "B/decision")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/edge/dump/decisions.go
+++ b/internal/edge/dump/decisions.go
@@ -1,4 +1,4 @@
-// Package dump keeps the recent decisions of an entry VM and forms the state dump of its process.
+// Package dump records the recent routing decisions of an entry VM for operators.
 package dump
 
 import (
@@ -8,25 +8,25 @@
 	"cardamompass"
 )
 
-// Attempt is one try to run a request.
+// Attempt is one attempt to run a request on a target.
 type Attempt struct {
 	Target cardamompass.TargetID `json:"target"`
 	Region cardamompass.Region   `json:"region"`
-	// Reason says why the target was chosen.
+	// Reason is the reason why the target was chosen.
 	Reason string `json:"reason"`
 	Hedge  bool   `json:"hedge,omitempty"`
-	// Result is "answered", or the error of the attempt.
+	// Result is "answered" or the error of the attempt.
 	Result   string `json:"result"`
 	Duration string `json:"duration"`
 }
 
-// Rejection says what became of a region or target in the last decision of a request that found no room.
+// Rejection is the reason why the last routing decision of a request that found no capacity rejected a region or target.
 type Rejection struct {
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
 }
 
-// Decision is what an entry VM decided about one request, with the reasons.
+// Decision records how an entry VM routed one request, and why.
 type Decision struct {
 	RequestID    cardamompass.RequestID   `json:"request-id"`
 	Service      cardamompass.ServiceName `json:"service"`
@@ -39,7 +39,7 @@
 	Reason       string                   `json:"reason,omitempty"`
 }
 
-// DecisionLog holds the last decisions. It is safe for concurrent use.
+// DecisionLog is a ring buffer of the most recent decisions. It is safe for concurrent use.
 type DecisionLog struct {
 	mtx  sync.Mutex
 	ring []Decision
@@ -47,36 +47,36 @@
 	full bool
 }
 
-// NewDecisionLog returns a Recent for count decisions, at least one.
+// NewDecisionLog returns a DecisionLog with room for count decisions, at least one.
 func NewDecisionLog(count int) *DecisionLog {
 	return &DecisionLog{
 		ring: make([]Decision, max(1, count)),
 	}
 }
 
-// Add keeps a decision in place of the oldest one.
-func (rct *DecisionLog) Add(dec Decision) {
-	rct.mtx.Lock()
-	defer rct.mtx.Unlock()
-	rct.ring[rct.next] = dec
-	rct.next++
-	if rct.next == len(rct.ring) {
-		rct.next, rct.full = 0, true
+// Add adds a decision and overwrites the oldest one if the log is full.
+func (dlg *DecisionLog) Add(dec Decision) {
+	dlg.mtx.Lock()
+	defer dlg.mtx.Unlock()
+	dlg.ring[dlg.next] = dec
+	dlg.next++
+	if dlg.next == len(dlg.ring) {
+		dlg.next, dlg.full = 0, true
 	}
 }
 
-// Find returns the decisions for a request id, or all of them for an empty one, the latest first.
-func (rct *DecisionLog) Find(rid cardamompass.RequestID) (found []Decision) {
-	rct.mtx.Lock()
-	defer rct.mtx.Unlock()
-	count := rct.next
-	if rct.full {
-		count = len(rct.ring)
+// Find returns the decisions for a request id, or all decisions for an empty id, newest first.
+func (dlg *DecisionLog) Find(rid cardamompass.RequestID) (found []Decision) {
+	dlg.mtx.Lock()
+	defer dlg.mtx.Unlock()
+	count := dlg.next
+	if dlg.full {
+		count = len(dlg.ring)
 	}
 	for num := range count {
-		pos := (rct.next - 1 - num + len(rct.ring)) % len(rct.ring)
-		if rid == "" || rct.ring[pos].RequestID == rid {
-			found = append(found, rct.ring[pos])
+		pos := (dlg.next - 1 - num + len(dlg.ring)) % len(dlg.ring)
+		if rid == "" || dlg.ring[pos].RequestID == rid {
+			found = append(found, dlg.ring[pos])
 		}
 	}
 	return found
--- a/internal/obs/logkv/async.go
+++ b/internal/obs/logkv/async.go
@@ -6,17 +6,18 @@
 	"sync/atomic"
 )
 
-// queuedLines is the number of lines that wait for a slow reader of the log. Further lines are dropped and counted.
+// queuedLines is the capacity of the queue of lines to be written. When it is full, further lines are dropped and counted.
 const queuedLines = 4096
 
-// Async writes lines from a goroutine, so that a reader of the log that stalls never holds up the process. It is safe for concurrent use.
+// Async writes lines from a goroutine of its own, so that a stalled reader of the log never blocks the process. It is safe
+// for concurrent use.
 type Async struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	once    sync.Once
 }
 
-// NewAsync returns a writer to out and the function that writes what waits and ends it.
+// NewAsync returns an Async that writes to out, and a function that writes the queued lines and stops it.
 func NewAsync(out io.Writer) (asy *Async, cleanup func()) {
 	asy = &Async{
 		lines: make(chan []byte, queuedLines),
@@ -34,7 +35,7 @@
 					more = false
 				}
 			}
-			_, _ = out.Write(line) // a log that can't be written must not end the process
+			_, _ = out.Write(line) // a failed write of the log must not end the process
 		}
 	}()
 	return asy, func() {
@@ -43,10 +44,10 @@
 	}
 }
 
-// maxBatchBytes bounds the lines that are written with one call.
+// maxBatchBytes is the size from which no further queued line is added to a write.
 const maxBatchBytes = 32 << 10
 
-// Write implements io.Writer. It never blocks. It must not be called after the clean-up function.
+// Write implements io.Writer. It never blocks. It must not be called after the cleanup function.
 func (asy *Async) Write(line []byte) (num int, err error) {
 	select {
 	case asy.lines <- append([]byte(nil), line...):
@@ -56,5 +57,5 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were dropped because the reader was too slow.
+// Dropped returns the number of lines that were dropped because the queue was full.
 func (asy *Async) Dropped() (count int64) { return asy.dropped.Load() }
--- a/internal/obs/logkv/logkv.go
+++ b/internal/obs/logkv/logkv.go
@@ -1,7 +1,7 @@
-// Package logkv makes the loggers of the processes: one line of key=value pairs for each event.
+// Package logkv creates the loggers of the processes, which write one line of key=value pairs per event.
 //
-// Repeated lines are limited: of the lines with the same level and message, the first RepeatsPerSecond of each second
-// are written and the others are counted, so that a storm of failures can't fill the log.
+// Repeated lines are rate-limited: of the lines with the same level and message, the first RepeatsPerSecond of each
+// second are written and the others are dropped and counted, so that a burst of failures can't fill the log.
 package logkv
 
 import (
@@ -16,7 +16,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// DefaultRepeatsPerSecond is the limit of equal lines a second where the configuration gives none.
+// DefaultRepeatsPerSecond is the default rate limit of lines with the same level and message.
 const DefaultRepeatsPerSecond = 20
 
 // Config configures a logger.
@@ -28,22 +28,22 @@
 	// RepeatsPerSecond is the number of lines with the same level and message that are written in a second; 0 means
 	// DefaultRepeatsPerSecond.
 	RepeatsPerSecond int
-	// Process is the value of the key "process" in each line, for example the VM's id. Empty leaves the key out.
+	// Process is the value of the key "process" in each line, for example the VM's id. If it is empty, the key is omitted.
 	Process string
 }
 
-// Logger is a zap logger together with the count of the lines that the limit left out.
+// Logger is a zap logger that counts the lines dropped by the rate limit.
 type Logger struct {
 	*zap.Logger
 	dropped *atomic.Int64
 }
 
-// Dropped returns the number of lines left out since the start.
+// Dropped returns the number of lines dropped by the rate limit.
 func (lgr *Logger) Dropped() int64 { return lgr.dropped.Load() }
 
-// New returns a logger and the function that flushes it.
+// New returns a logger and a function that flushes it.
 func New(cfg Config) (lgr *Logger, cleanup func(), err error) {
-	defer func() { err = errors.Wrap(err, "make logger") }()
+	defer func() { err = errors.Wrap(err, "create logger") }()
 	level := zapcore.InfoLevel
 	if cfg.Level != "" {
 		if level, err = zapcore.ParseLevel(cfg.Level); err != nil {
@@ -76,8 +76,8 @@
 	return lgr, func() { _ = zlg.Sync() }, nil
 }
 
-// plainErrors writes errors as their text. zap adds the call stack of an error that has one, with the paths of the machine on
-// which the program was built.
+// plainErrors writes only the message of errors. For an error with a stack trace, zap would add the trace, which contains
+// paths of the build machine.
 type plainErrors struct{ zapcore.Core }
 
 // With implements zapcore.Core.
--- a/internal/obs/logkv/logkv_test.go
+++ b/internal/obs/logkv/logkv_test.go
@@ -11,7 +11,7 @@
 	"cardamompass/internal/obs/logkv"
 )
 
-// Guards against a storm of equal events that fills the log, and against losing the count of what was left out.
+// Guards against a burst of equal events that fills the log, and against a wrong count of dropped lines.
 func TestRepeatedLinesAreLimited(t *testing.T) {
 	var buf bytes.Buffer
 	lgr, cleanup, err := logkv.New(logkv.Config{
@@ -29,10 +29,10 @@
 	cleanup()
 	lines := strings.Count(buf.String(), "\n")
 	if int64(lines)+lgr.Dropped() != events {
-		t.Fatalf("%d lines written and %d counted as left out, want %d together", lines, lgr.Dropped(), events)
+		t.Fatalf("%d lines written and %d counted as dropped, want %d together", lines, lgr.Dropped(), events)
 	}
 	if lgr.Dropped() == 0 {
-		t.Fatal("no line was left out")
+		t.Fatal("no line was dropped")
 	}
 	first, _, _ := strings.Cut(buf.String(), "\n")
 	for _, want := range []string{"level=warn", `event="probe failed"`, "target=t-1", "process=vm-1"} {
@@ -42,14 +42,14 @@
 	}
 }
 
-// Guards against a misspelt level that silently logs nothing or everything.
+// Guards against a misspelt level that is accepted and logs nothing or everything.
 func TestUnknownLevelIsRefused(t *testing.T) {
 	if _, _, err := logkv.New(logkv.Config{Writer: &bytes.Buffer{}, Level: "loud"}); err == nil {
 		t.Fatal("level was accepted")
 	}
 }
 
-// Guards against a call stack, with the paths of the build machine, in the line of an error.
+// Guards against stack traces, which contain paths of the build machine, in log lines with an error.
 func TestErrorsHaveNoStack(t *testing.T) {
 	var buf bytes.Buffer
 	lgr, cleanup, err := logkv.New(logkv.Config{
--- a/internal/obs/metric/metric.go
+++ b/internal/obs/metric/metric.go
@@ -1,4 +1,4 @@
-// Package metric makes the tally scope of a process and the page from which its metrics are scraped.
+// Package metric creates the tally scope of a process and the page from which its metrics are scraped.
 package metric
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is the time between two transfers of counters from tally to the scrape page.
+// reportInterval is the interval at which tally reports its values to the scrape page.
 const reportInterval = time.Second
 
 // Config configures the metrics of a process.
@@ -25,14 +25,14 @@
 	page  http.Handler
 }
 
-// New returns the metrics of a process and the function that stops their reporting.
+// New returns the metrics of a process and a function that stops reporting.
 func New(cfg Config) (mtr *Metrics, cleanup func()) {
 	reg := client.NewRegistry()
 	rep := prometheus.NewReporter(prometheus.Options{
 		Registerer:       reg,
 		Gatherer:         reg,
 		DefaultTimerType: prometheus.HistogramTimerType,
-		// A metric that can't be registered is left out of the page; it must not end the process.
+		// A metric that can't be registered is missing from the page; it must not end the process.
 		OnRegisterError: func(error) {},
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -49,7 +49,8 @@
 	return mtr, func() { _ = closer.Close() }
 }
 
-// sanitizeOptions replace hyphens in names, which the scrape format has not, and keep the values of tags readable.
+// sanitizeOptions returns options that replace hyphens in names, which Prometheus does not allow, and keep them in tag
+// values, together with the characters "/", ":", "_" and ".".
 func sanitizeOptions() *tally.SanitizeOptions {
 	opts := prometheus.DefaultSanitizerOpts
 	opts.ValueCharacters = tally.ValidCharacters{
@@ -65,7 +66,7 @@
 // Handler returns the handler of the scrape page.
 func (mtr *Metrics) Handler() http.Handler { return mtr.page }
 
-// LatencyBuckets are the bounds of latency histograms, from 0.25 ms to about 33 s.
+// LatencyBuckets returns the bucket bounds of latency histograms, from 0.25 ms to about 33 s.
 func LatencyBuckets() tally.Buckets {
 	const (
 		start  = 250 * time.Microsecond
--- a/internal/obs/metric/metric_test.go
+++ b/internal/obs/metric/metric_test.go
@@ -10,16 +10,16 @@
 	"cardamompass/internal/obs/metric"
 )
 
-// Guards against a metric that the code updates and the scrape page leaves out: the names are those of the entry VM.
+// Guards against a metric that is updated but missing from the scrape page. The names are metrics of the entry VM.
 func TestAllMetricsOnPage(t *testing.T) {
-	mtr, stop := metric.New(metric.Config{
+	mtr, cleanup := metric.New(metric.Config{
 		Tags: map[string]string{"vm": "vm-1"},
 	})
 	scp := mtr.Scope()
 	scp.Counter("requests").Inc(1)
 	scp.Gauge("catalogue-version").Update(7)
 	scp.Histogram("request-latency", metric.LatencyBuckets()).RecordDuration(time.Millisecond)
-	stop() // reports once more
+	cleanup() // reports the last values
 	rec := httptest.NewRecorder()
 	mtr.Handler().ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
 	page := rec.Body.String()
--- a/internal/obs/trace/trace.go
+++ b/internal/obs/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace reads the log lines of entry VMs and tells the story of one request from them.
+// Package trace reads the logs of entry VMs and reconstructs the timeline of one request.
 //
-// Lines come from any number of VMs, in any order. Lines that can't be read are counted and left out.
+// The logs may come from any number of VMs, with lines in any order. Lines that can't be parsed are counted and skipped.
 package trace
 
 import (
@@ -18,17 +18,17 @@
 // maxLineBytes bounds a log line.
 const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	Time   time.Time
 	Event  string
 	Fields []Field
 }
 
-// Field is a key with its value.
+// Field is a key-value pair of a Line.
 type Field struct{ Key, Value string }
 
-// Get returns the value of a key, empty if the line does not have it.
+// Get returns the value of a key, or "" if the line does not have the key.
 func (lin Line) Get(key string) (value string) {
 	for _, fld := range lin.Fields {
 		if fld.Key == key {
@@ -38,27 +38,27 @@
 	return ""
 }
 
-// Timeline is what the logs say of a request.
+// Timeline holds the log lines that concern one request.
 type Timeline struct {
-	// Lines are the request's lines in the order of their times.
+	// Lines are the lines of the request, sorted by time.
 	Lines []Line
-	// StateChanges are lines of the same VMs on what they believed, shortly before and during the request.
+	// StateChanges are the state changes of the same VMs shortly before and during the request, sorted by time.
 	StateChanges []Line
-	// Unreadable counts the lines that could not be read.
+	// Unreadable is the number of lines that could not be parsed.
 	Unreadable int
 }
 
-// contextBefore is how long before a request a change of what a VM believes is shown.
-const contextBefore = 3 * time.Second
+// stateChangesBefore is the time before the first line of a request from which state changes are included.
+const stateChangesBefore = 3 * time.Second
 
-// beliefs are the events that change what a VM believes.
-var beliefs = []string{
+// stateEvents are the events that report a state change of a VM or of its view of the system.
+var stateEvents = []string{
 	"store lost", "store regained", "store history lost", "routing table in force", "target gone", "target entry removed",
 	"failure domain evacuated", "failure domain restored", "stop begins", "started", "vm gone", "crash known",
 }
 
-// Read reads logs and returns the story of the request with an id.
-func Read(request string, logs ...io.Reader) (sty Timeline, err error) {
+// Read reads logs and returns the timeline of the request with the given id.
+func Read(request string, logs ...io.Reader) (tml Timeline, err error) {
 	defer func() { err = errors.Wrap(err, "read logs") }()
 	var changes []Line
 	for _, log := range logs {
@@ -68,42 +68,42 @@
 			lin, ok := parse(scn.Text())
 			switch {
 			case !ok:
-				sty.Unreadable++
+				tml.Unreadable++
 			case lin.Get("request") == request:
-				sty.Lines = append(sty.Lines, lin)
-			case slices.Contains(beliefs, lin.Event):
+				tml.Lines = append(tml.Lines, lin)
+			case slices.Contains(stateEvents, lin.Event):
 				changes = append(changes, lin)
 			}
 		}
 		if err = scn.Err(); err != nil {
-			return sty, err
+			return tml, err
 		}
 	}
 	byTime := func(one, two Line) int { return one.Time.Compare(two.Time) }
-	slices.SortStableFunc(sty.Lines, byTime)
+	slices.SortStableFunc(tml.Lines, byTime)
 	slices.SortStableFunc(changes, byTime)
-	sty.StateChanges = sty.near(changes)
-	return sty, nil
+	tml.StateChanges = tml.stateChanges(changes)
+	return tml, nil
 }
 
-// near returns the changes at the VMs of the request around its time.
-func (sty Timeline) near(changes []Line) (lines []Line) {
-	if len(sty.Lines) == 0 {
+// stateChanges returns those of the changes that happened at the VMs of the request, around its time.
+func (tml Timeline) stateChanges(changes []Line) (lines []Line) {
+	if len(tml.Lines) == 0 {
 		return nil
 	}
-	first, last := sty.Lines[0].Time, sty.Lines[len(sty.Lines)-1].Time
+	first, last := tml.Lines[0].Time, tml.Lines[len(tml.Lines)-1].Time
 	for _, lin := range changes {
-		if lin.Time.Before(first.Add(-contextBefore)) || lin.Time.After(last) {
+		if lin.Time.Before(first.Add(-stateChangesBefore)) || lin.Time.After(last) {
 			continue
 		}
-		if slices.ContainsFunc(sty.Lines, func(own Line) bool { return own.Get("process") == lin.Get("process") }) {
+		if slices.ContainsFunc(tml.Lines, func(own Line) bool { return own.Get("process") == lin.Get("process") }) {
 			lines = append(lines, lin)
 		}
 	}
 	return lines
 }
 
-// parse reads a line in the form key=value. What precedes the time, such as the prefix of a log collector, is left out.
+// parse parses a line of key=value pairs. Text before the key time, such as the prefix of a log collector, is skipped.
 func parse(text string) (lin Line, ok bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -128,16 +128,16 @@
 	return lin, err == nil && lin.Event != ""
 }
 
-// Cause names why the request ended as it did, from its last lines.
-func (sty Timeline) Cause() (text string) {
-	if len(sty.Lines) == 0 {
+// Cause describes why the request ended as it did, according to its last lines.
+func (tml Timeline) Cause() (text string) {
+	if len(tml.Lines) == 0 {
 		return "no line names this request: it reached none of these VMs, or its lines were dropped under load"
 	}
-	last := sty.Lines[len(sty.Lines)-1]
-	failed := sty.last("attempt failed")
+	last := tml.Lines[len(tml.Lines)-1]
+	failed := tml.last("attempt failed")
 	switch last.Event {
 	case "request answered":
-		return sty.answered(last)
+		return tml.answered(last)
 	case "request refused":
 		if reason := last.Get("reason"); reason != "" {
 			return "refused before a target was chosen: " + reason
@@ -147,7 +147,7 @@
 		}
 		return "refused, and it has not run: " + last.Get("error")
 	case "request timeout":
-		return fmt.Sprintf("no answer of target %s within the %s that the caller and the route allow", sty.target(), last.Get("allowed"))
+		return fmt.Sprintf("no answer of target %s within the %s that the caller and the route allow", tml.target(), last.Get("allowed"))
 	case "request failed":
 		if failed != nil {
 			return fmt.Sprintf("target %s failed after the request was sent (%s: %s), and it may have run",
@@ -163,29 +163,29 @@
 	}
 }
 
-// answered explains an answer, which may be late or a failure of the target's own.
-func (sty Timeline) answered(last Line) (text string) {
-	text = fmt.Sprintf("answered with %s by target %s in %s", last.Get("status"), sty.target(), last.Get("took"))
-	if failed := sty.last("attempt failed"); failed != nil {
+// answered describes a request that a target answered, including failed attempts and a hedge.
+func (tml Timeline) answered(last Line) (text string) {
+	text = fmt.Sprintf("answered with %s by target %s in %s", last.Get("status"), tml.target(), last.Get("took"))
+	if failed := tml.last("attempt failed"); failed != nil {
 		text += fmt.Sprintf(", after target %s: %s", failed.Get("target"), failed.Get("kind"))
 	}
-	if sent := sty.last("request sent"); sent != nil && sent.Get("second") == "true" {
+	if sent := tml.last("request sent"); sent != nil && sent.Get("second") == "true" {
 		text += "; the first target was slow, and a second one was asked"
 	}
 	return text
 }
 
-func (sty Timeline) target() (name string) {
-	if sent := sty.last("request sent"); sent != nil {
+func (tml Timeline) target() (name string) {
+	if sent := tml.last("request sent"); sent != nil {
 		return sent.Get("target")
 	}
 	return "none"
 }
 
-func (sty Timeline) last(event string) (lin *Line) {
-	for num := range sty.Lines {
-		if sty.Lines[num].Event == event {
-			lin = &sty.Lines[num]
+func (tml Timeline) last(event string) (lin *Line) {
+	for num := range tml.Lines {
+		if tml.Lines[num].Event == event {
+			lin = &tml.Lines[num]
 		}
 	}
 	return lin
--- a/internal/obs/trace/trace_test.go
+++ b/internal/obs/trace/trace_test.go
@@ -20,7 +20,7 @@
 time=2026-01-24T09:36:03.000Z level=info event="request sent" process=vm-2 request=r-4 second=false target=i-1
 `
 
-// Guards against a cause that the lines do not show, and against lines of another request or VM.
+// Guards against a cause that does not match the lines, and against lines of another request or VM.
 func TestCause(t *testing.T) {
 	tests := []struct {
 		request string
@@ -38,16 +38,16 @@
 	for _, tst := range tests {
 		t.Run(tst.request, func(t *testing.T) {
 			half := strings.Index(logs, "panic")
-			sty, err := trace.Read(tst.request, strings.NewReader(logs[half:]), strings.NewReader(logs[:half]))
-			if err != nil || sty.Unreadable != 1 {
-				t.Fatalf("%d unreadable lines, error %v", sty.Unreadable, err)
+			tml, err := trace.Read(tst.request, strings.NewReader(logs[half:]), strings.NewReader(logs[:half]))
+			if err != nil || tml.Unreadable != 1 {
+				t.Fatalf("%d unreadable lines, error %v", tml.Unreadable, err)
 			}
-			if len(sty.Lines) != tst.lines || len(sty.StateChanges) != tst.context || !strings.Contains(sty.Cause(), tst.cause) {
-				t.Fatalf("%d lines, %d of context, cause %q", len(sty.Lines), len(sty.StateChanges), sty.Cause())
+			if len(tml.Lines) != tst.lines || len(tml.StateChanges) != tst.context || !strings.Contains(tml.Cause(), tst.cause) {
+				t.Fatalf("%d lines, %d state changes, cause %q", len(tml.Lines), len(tml.StateChanges), tml.Cause())
 			}
-			for num := 1; num < len(sty.Lines); num++ {
-				if sty.Lines[num].Time.Before(sty.Lines[num-1].Time) {
-					t.Fatal("the lines are not in the order of their times")
+			for num := 1; num < len(tml.Lines); num++ {
+				if tml.Lines[num].Time.Before(tml.Lines[num-1].Time) {
+					t.Fatal("the lines are not sorted by time")
 				}
 			}
 		})
