--- a/internal/steer/route/bench_test.go
+++ b/internal/steer/route/bench_test.go
@@ -8,8 +8,9 @@
 	"cardamompass/internal/steer/route"
 )
 
-// BenchmarkSubset measures the division of one service's targets of one region among the entry VMs, which each VM does
-// for each service and region after a change of the membership. targets is the VM's number of targets that results.
+// BenchmarkSubset measures the division of one service's targets of one region among the entry VMs. Each VM computes it
+// for each service and region after a change of the membership. The metric targets is the VM's resulting number of
+// targets.
 func BenchmarkSubset(b *testing.B) {
 	for _, vms := range []int{7, 50, 200, 430} {
 		for _, count := range []int{20, 100, 450} {
--- a/internal/steer/route/decide.go
+++ b/internal/steer/route/decide.go
@@ -7,8 +7,8 @@
 	"cardamompass"
 )
 
-// Decide returns the candidates for req in the order in which they should be tried, with the reasons. The memory of
-// old is reused; the zero Decision is fine. The result does not refer to snp.
+// Decide returns the candidates for req in the order in which they should be tried, with the reasons. It reuses the
+// slices of old, which may be the zero Decision. The result does not refer to snp.
 func Decide(snp *Snapshot, req *Request, old Decision) (dec Decision) {
 	dec = old.Reset()
 	for pos := -1; pos < len(req.FallbackRegions); pos++ {
@@ -41,8 +41,8 @@
 	case needsShift && !rst.ShiftUnits:
 		return ReasonNoShiftUnits
 	}
-	limit, room := RegionLimit(snp, rst)
-	if !room {
+	limit, free := RegionLimit(snp, rst)
+	if !free {
 		return ReasonNoShare
 	}
 	pck := picker{
@@ -50,7 +50,7 @@
 		req: req,
 		reg: reg,
 	}
-	pck.pick(dec)
+	pck.appendCandidates(dec)
 	if len(dec.Candidates) == 0 {
 		return ReasonNoTarget
 	}
@@ -63,11 +63,11 @@
 	return ReasonNearestAvailable
 }
 
-// RegionLimit returns the number of own requests that the VM may have in flight on the region's targets that are not
-// avoided, and whether one more fits. The slots of avoided targets, and those that cold targets do not use yet, are
-// taken out of the share in proportion. The result is rounded down, so that the shares of all VMs together never
-// exceed the slots that are left.
-func RegionLimit(snp *Snapshot, rst *RegionState) (limit int, room bool) {
+// RegionLimit returns the number of requests that the VM may have in flight on the region's targets that are not
+// avoided, and whether it may start one more. The share is reduced in proportion to the slots of avoided targets and
+// the slots that cold targets do not use yet. The result is rounded down, so that the limits of all VMs together never
+// exceed the remaining slots.
+func RegionLimit(snp *Snapshot, rst *RegionState) (limit int, free bool) {
 	var total, inFlight, avoided int
 	var usable float64
 	for i := range snp.Targets {
@@ -86,14 +86,14 @@
 	if total == 0 {
 		return 0, false
 	}
-	// The ramps of region and targets describe the same cold caches, so the smaller one counts, not their product.
+	// The ramps of region and targets describe the same cold caches, so the smaller one applies, not their product.
 	part := min(usable/float64(total), Ramp(rst.ColdSince, snp.Now))
-	// The addend absorbs the rounding error of sums that are whole in exact arithmetic.
+	// 1e-9 compensates for rounding errors in results that are integers in exact arithmetic.
 	limit = int(float64(rst.Share)*part + 1e-9)
 	return limit, inFlight < limit && inFlight+avoided < rst.Share
 }
 
-// grade orders targets before their load does; a lower grade goes first.
+// grade is the first sort key of targets, before their load; a lower grade goes first.
 type grade uint8
 
 const (
@@ -108,7 +108,7 @@
 	reg cardamompass.Region
 }
 
-// entry is one eligible target with its precomputed order.
+// entry is a target that may get the request, with its precomputed limit and grade.
 type entry struct {
 	idx   int
 	limit int
@@ -116,11 +116,11 @@
 	taken bool
 }
 
-// maxOnStack is the number of targets of a region up to which a decision needs no heap memory for its entries.
-const maxOnStack = 64
+// maxStackEntries is the number of targets of a region up to which a decision does not allocate for its entries.
+const maxStackEntries = 64
 
-func (pck *picker) pick(dec *Decision) {
-	var buf [maxOnStack]entry
+func (pck *picker) appendCandidates(dec *Decision) {
+	var buf [maxStackEntries]entry
 	ens := pck.eligible(buf[:0], dec)
 	limit := pck.req.Limit
 	if limit <= 0 {
@@ -182,8 +182,8 @@
 	return gradeGood
 }
 
-// best returns the position of the best entry that is not taken, or -1. prev is the index of the previous candidate,
-// or -1 for the first.
+// best returns the position of the best entry that is not taken, or -1. prev is the index of the previous candidate's
+// target, or -1 for the first candidate.
 func (pck *picker) best(ens []entry, prev int) (pos int, rsn Reason) {
 	pos = -1
 	tie, domain := false, false
@@ -217,8 +217,8 @@
 	}
 }
 
-// compare orders by grade, by leaving the failure domain of the previous candidate, and by own in-flight count
-// relative to slots. byDomain reports that the failure domain decided.
+// compare orders by grade, then targets outside of the failure domain of the previous candidate first, then by the
+// VM's own in-flight count relative to slots. byDomain reports that the failure domain decided.
 func (pck *picker) compare(one, two *entry, prev int) (cmp int, byDomain bool) {
 	if one.grade != two.grade {
 		return int(one.grade) - int(two.grade), false
@@ -236,12 +236,12 @@
 	if cmp = tg1.InFlight*two.limit - tg2.InFlight*one.limit; cmp != 0 {
 		return cmp, false
 	}
-	// Load reports are late and the same for all VMs. Any more weight than that of a tie-break makes all VMs leave the
-	// same targets at once and crowd the others.
-	return btoi(tg1.Overloaded) - btoi(tg2.Overloaded), false
+	// Load reports are late and the same for all VMs. If they were more than a tie-break, all VMs would leave the same
+	// targets at once and overload the others.
+	return boolToInt(tg1.Overloaded) - boolToInt(tg2.Overloaded), false
 }
 
-func btoi(yes bool) (num int) {
+func boolToInt(yes bool) (num int) {
 	if yes {
 		return 1
 	}
--- a/internal/steer/route/diff_test.go
+++ b/internal/steer/route/diff_test.go
@@ -12,7 +12,7 @@
 	simSeed = flag.Uint64("sim-seed", 0, "seed of the simulation; 0 selects the seeds 1 and 2")
 )
 
-// Guards against a policy that reacts to stragglers too late, or that buys its tail latency with extra load.
+// Guards against a policy that reacts to stragglers too late, or whose hedges add too much load.
 func TestPolicyAgainstNaive(t *testing.T) {
 	seeds := []uint64{1, 2}
 	if *simSeed != 0 {
@@ -38,18 +38,18 @@
 	naive := runSim(cfg)
 	cfg.naive, cfg.stragglers = false, false
 	calm := runSim(cfg)
-	t.Logf("p99 naive %v, policy %v, policy without stragglers %v; extra %d and %d of %d",
-		naive.p99, policy.p99, calm.p99, policy.extras, calm.extras, policy.requests)
+	t.Logf("p99 naive %v, policy %v, policy without stragglers %v; hedges %d and %d of %d",
+		naive.p99, policy.p99, calm.p99, policy.hedges, calm.hedges, policy.requests)
 	if 4*policy.p99 > naive.p99 {
 		t.Errorf("p99 %v is more than a quarter of naive's %v", policy.p99, naive.p99)
 	}
 	if 2*policy.p99 > 3*calm.p99 {
 		t.Errorf("p99 %v is more than 1.5 times the %v without stragglers", policy.p99, calm.p99)
 	}
-	if 100*policy.extras > 3*policy.requests || 100*calm.extras > 3*calm.requests {
-		t.Errorf("%d and %d extra requests are more than 3%% of %d", policy.extras, calm.extras, policy.requests)
+	if 100*policy.hedges > 3*policy.requests || 100*calm.hedges > 3*calm.requests {
+		t.Errorf("%d and %d hedges are more than 3%% of %d requests", policy.hedges, calm.hedges, policy.requests)
 	}
-	if policy.overShare+calm.overShare > 0 {
-		t.Errorf("more in flight than the share %d times", policy.overShare+calm.overShare)
+	if policy.shareExceeded+calm.shareExceeded > 0 {
+		t.Errorf("requests in flight exceeded the share %d times", policy.shareExceeded+calm.shareExceeded)
 	}
 }
--- a/internal/steer/route/naive.go
+++ b/internal/steer/route/naive.go
@@ -1,7 +1,7 @@
 package route
 
-// Naive is the baseline: round robin over the targets of the caller's region that do not leave and can be reached,
-// without regard to load, share or latency. turn counts the VM's requests. It never leaves the region.
+// Naive is the baseline: round robin over the targets of the caller's region that are neither leaving nor failing,
+// regardless of load, share or latency. turn counts the VM's requests. Naive chooses no target of another region.
 func Naive(snp *Snapshot, req *Request, turn uint64, old Decision) (dec Decision) {
 	dec = old.Reset()
 	healthy := uint64(0)
--- a/internal/steer/route/prop_test.go
+++ b/internal/steer/route/prop_test.go
@@ -62,8 +62,8 @@
 	return snp, req
 }
 
-// check returns what is wrong with a decision, or an empty string.
-func check(snp *route.Snapshot, req *route.Request, dec *route.Decision) string {
+// checkDecision returns the first violated rule of a decision, or an empty string.
+func checkDecision(snp *route.Snapshot, req *route.Request, dec *route.Decision) string {
 	for pos, cnd := range dec.Candidates {
 		idx := slices.IndexFunc(snp.Targets, func(tst route.TargetState) bool { return tst.ID == cnd.Target })
 		tgt := snp.Targets[idx]
@@ -81,13 +81,13 @@
 		straggler := tgt.Straggler(snp.Usual, snp.Now)
 		switch {
 		case tgt.Leaving || tgt.Failing || slices.Contains(req.Exclude, tgt.ID):
-			return "target must get no work: " + string(tgt.ID)
+			return "target must get no requests: " + string(tgt.ID)
 		case own >= reg.Share:
-			return "share is in flight already"
+			return "the share is already in flight"
 		case cnd.RegionLimit*total > reg.Share*usable:
-			return "slots of avoided targets are still in the usable share"
+			return "slots of avoided targets are still part of the usable share"
 		case tgt.InFlight >= min(tgt.Slots, tgt.UsableSlots):
-			return "slots of the target are taken"
+			return "no free slot on the target"
 		case cnd.Region != snp.VMRegion && (!cnd.NeedsLink || !reg.LinkUnits):
 			return "link without units"
 		case cnd.Region != req.CallerRegion && (!cnd.NeedsShift || !reg.ShiftUnits):
@@ -108,7 +108,7 @@
 	return ""
 }
 
-// Guards against a decision that exceeds a share, uses a leaving target, or crosses without units.
+// Guards against a decision that exceeds a share, uses a leaving target, or crosses between regions without units.
 func TestDecideProperties(t *testing.T) {
 	prm := gopter.DefaultTestParametersWithSeed(*seed)
 	prm.MinSuccessfulTests = 5000
@@ -116,13 +116,13 @@
 	prs.Property("limits hold", prop.ForAll(func(num uint64) string {
 		snp, req := randomSnapshot(rand.New(rand.NewPCG(num, 0)))
 		dec := route.Decide(&snp, &req, route.Decision{})
-		return check(&snp, &req, &dec)
+		return checkDecision(&snp, &req, &dec)
 	}, gen.UInt64()))
 	prs.TestingRun(t)
 }
 
-// Guards against the loss of both attempts of a request with one failure domain, and against a straggler that goes first
-// because it has few requests.
+// Guards against both attempts of a request going to one failure domain, and against a straggler that comes first because
+// it has few requests in flight.
 func TestDecideOrder(t *testing.T) {
 	snp := route.Snapshot{
 		Now:      time.Unix(1_700_000_000, 0),
@@ -151,7 +151,8 @@
 	}
 }
 
-func connect(cfg route.SubsetConfig) (all map[cardamompass.VMID][]route.Connection) {
+// subsetsOfAllVMs returns the subset of each VM.
+func subsetsOfAllVMs(cfg route.SubsetConfig) (all map[cardamompass.VMID][]route.Connection) {
 	all = make(map[cardamompass.VMID][]route.Connection)
 	for _, vid := range cfg.VMs {
 		cfg.Self = vid
@@ -160,8 +161,8 @@
 	return all
 }
 
-// fresh counts the pairs of VM and target in all that are not in old.
-func fresh(all, old map[cardamompass.VMID][]route.Connection) (count int) {
+// countNewPairs returns the number of pairs of VM and target in all that are not in old.
+func countNewPairs(all, old map[cardamompass.VMID][]route.Connection) (count int) {
 	for vid, cns := range all {
 		for _, cnn := range cns {
 			if !slices.ContainsFunc(old[vid], func(was route.Connection) bool { return was.Target == cnn.Target }) {
@@ -172,8 +173,8 @@
 	return count
 }
 
-// Guards against a target with more connections than it accepts, a VM without targets, and a fleet that reconnects as a
-// whole when a VM or target leaves.
+// Guards against a target with more connections than it accepts, a VM without targets, and a reconnection of the whole
+// fleet when a VM or target leaves.
 func TestSubset(t *testing.T) {
 	tests := []struct{ vms, connections int }{{7, 330}, {100, 60}, {430, 330}}
 	for _, tst := range tests {
@@ -187,7 +188,7 @@
 				Connections: tst.connections,
 			})
 		}
-		all := connect(cfg)
+		all := subsetsOfAllVMs(cfg)
 		counts, pairs := make(map[cardamompass.TargetID]int), 0
 		for vid, cns := range all {
 			if len(cns) == 0 {
@@ -208,12 +209,12 @@
 		}
 		fewer := cfg
 		fewer.VMs = slices.Delete(slices.Clone(cfg.VMs), 3, 4)
-		byVM := fresh(connect(fewer), all)
+		byVM := countNewPairs(subsetsOfAllVMs(fewer), all)
 		fewer = cfg
 		fewer.Targets = slices.Delete(slices.Clone(cfg.Targets), 3, 4)
-		byTarget := fresh(connect(fewer), all)
+		byTarget := countNewPairs(subsetsOfAllVMs(fewer), all)
 		t.Logf("%+v: %d pairs, %d new after a VM left, %d after a target left", tst, pairs, byVM, byTarget)
-		// A VM or target has its part of the pairs; the others may take these over and move as many of their own.
+		// The pairs of the removed VM or target may go to the others, which may change as many of their own pairs.
 		if byVM > 2*pairs/tst.vms+1 || byTarget > 2*pairs/20 {
 			t.Errorf("%+v: %d and %d of %d pairs are new", tst, byVM, byTarget, pairs)
 		}
--- a/internal/steer/route/reason.go
+++ b/internal/steer/route/reason.go
@@ -6,35 +6,35 @@
 type Reason uint8
 
 const (
-	// ReasonLowestInFlight is a choice by the lowest own in-flight count relative to slots.
+	// ReasonLowestInFlight is a choice by the lowest in-flight count of the VM relative to slots.
 	ReasonLowestInFlight Reason = iota + 1
 	// ReasonRendezvous is a choice by the rendezvous order among equally loaded targets.
 	ReasonRendezvous
 	// ReasonOtherDomain is a choice because the previous candidate is in another failure domain.
 	ReasonOtherDomain
-	// ReasonOnlyStraggler is the choice of a straggler, for want of a better one.
+	// ReasonOnlyStraggler is the choice of a straggler because only stragglers remain.
 	ReasonOnlyStraggler
 	// ReasonRoundRobin is the choice of the naive baseline.
 	ReasonRoundRobin
-	// ReasonNearestAvailable is the choice of a region.
+	// ReasonNearestAvailable is the choice of the nearest region with free capacity.
 	ReasonNearestAvailable
-	// ReasonLeaving rejects a target that leaves.
+	// ReasonLeaving rejects a target that is leaving.
 	ReasonLeaving
 	// ReasonFailing rejects a target that cannot be reached.
 	ReasonFailing
-	// ReasonExcluded rejects a target that already carried an attempt of the request.
+	// ReasonExcluded rejects a target to which an attempt of the request was already sent.
 	ReasonExcluded
-	// ReasonTargetFull rejects a target whose usable slots are all taken by own requests.
+	// ReasonTargetFull rejects a target whose usable slots are all in use by requests of the VM.
 	ReasonTargetFull
-	// ReasonOverLimit rejects a target that ranks behind as many candidates as were asked for.
+	// ReasonOverLimit rejects a target that ranks after the requested number of candidates.
 	ReasonOverLimit
-	// ReasonFartherRegion rejects a region behind a nearer one with room.
+	// ReasonFartherRegion rejects a region because a nearer one has free capacity.
 	ReasonFartherRegion
-	// ReasonNoShare rejects a region in which the VM's usable share is in flight.
+	// ReasonNoShare rejects a region in which the VM has no usable share left, or none at all.
 	ReasonNoShare
-	// ReasonNoLinkUnits rejects a region for want of link units.
+	// ReasonNoLinkUnits rejects a region because no link units are available.
 	ReasonNoLinkUnits
-	// ReasonNoShiftUnits rejects a region for want of shift units.
+	// ReasonNoShiftUnits rejects a region because no shift units are available.
 	ReasonNoShiftUnits
 	// ReasonNoTarget rejects a region in which no target may get the request.
 	ReasonNoTarget
@@ -70,35 +70,35 @@
 // MarshalText implements encoding.TextMarshaler for the state dump.
 func (rsn Reason) MarshalText() (text []byte, err error) { return []byte(rsn.String()), nil }
 
-// Candidate is one target that may carry the request.
+// Candidate is a target to which the request may be sent.
 type Candidate struct {
 	Target cardamompass.TargetID
 	Region cardamompass.Region
 	Reason Reason
-	// Limit is the largest own in-flight count on the target, RegionLimit the largest on all targets of the region that
-	// are not avoided, and Share the largest on all targets of the region. The driver checks them again when it begins
-	// the request.
+	// Limit bounds the VM's requests in flight on the target, RegionLimit those on all targets of the region that are not
+	// avoided, and Share those on all targets of the region. They are checked again when the request begins.
 	Limit       int
 	RegionLimit int
 	Share       int
-	// NeedsLink and NeedsShift report whether the driver must spend units of the link and of the shift.
+	// NeedsLink and NeedsShift report whether the request needs units of the link and of the shift.
 	NeedsLink  bool
 	NeedsShift bool
 }
 
-// Rejection is one target that may not carry the request.
+// Rejection is a target to which the request may not be sent.
 type Rejection struct {
 	Target cardamompass.TargetID
 	Reason Reason
 }
 
-// RegionVerdict says what became of one region.
+// RegionVerdict is the reason why a region was chosen or rejected.
 type RegionVerdict struct {
 	Region cardamompass.Region
 	Reason Reason
 }
 
-// Decision is the outcome of Decide, kept for the state dump. Candidates is empty when no region has room.
+// Decision is the result of Decide. It is kept for the state dump. Candidates is empty when no region has free
+// capacity.
 type Decision struct {
 	Candidates []Candidate
 	Rejections []Rejection
@@ -113,7 +113,7 @@
 	return dec.Candidates[0], true
 }
 
-// Reset returns an empty decision that reuses the memory of dec.
+// Reset returns an empty decision that reuses the slices of dec.
 func (dec *Decision) Reset() (empty Decision) {
 	return Decision{
 		Candidates: dec.Candidates[:0],
--- a/internal/steer/route/route.go
+++ b/internal/steer/route/route.go
@@ -1,14 +1,14 @@
-// Package route decides which targets carry a request, and in which order.
+// Package route decides to which targets a request may be sent, and in which order.
 //
 // Decide is a pure function of a Snapshot and a Request: it does no I/O, reads no clock and takes no lock. The regions
-// are tried in the caller's order of preference, and the nearest one with room wins. A region has room while the
-// VM's own requests in flight stay under the VM's usable share of its slots and one of its targets may get work. A
-// request that crosses between regions also needs units of the link and of the shift. Within the region the target
-// with the lowest own in-flight count relative to its slots comes first; stragglers come
-// last; candidates alternate failure domains, so that a retry or a hedge leaves the domain of the first attempt.
+// are tried in the caller's order of preference, and the nearest one with free capacity is chosen. A region has free
+// capacity while the VM's own requests in flight stay under its usable share of the region's slots and at least one
+// target may get the request. A request that crosses between regions also needs units of the link and of the shift.
+// Within the region the target with the lowest in-flight count of the VM relative to its slots comes first; stragglers
+// come last; candidates alternate failure domains, so that a retry or a hedge leaves the domain of the first attempt.
 //
-// Reports of targets only ever lower what a VM sends. Naive is the round-robin baseline that Decide is compared with,
-// and Subset selects the targets to which a VM of a large fleet keeps connections.
+// Load reports of targets can only lower the number of requests that a VM sends. Naive is the round-robin baseline
+// with which Decide is compared, and Subset selects the targets to which a VM of a large fleet keeps connections.
 package route
 
 import (
@@ -20,20 +20,21 @@
 )
 
 const (
-	// StragglerFactor is the multiple of the usual latency at which the oldest own request marks its target.
+	// StragglerFactor is the multiple of the usual latency above which the age of the oldest own request makes its target
+	// a straggler.
 	StragglerFactor = 3
-	// RampUp is the time in which a cold target or region grows to its full share.
+	// RampUp is the time in which the usable part of a cold target or region grows to 1.
 	RampUp = 10 * time.Second
-	// rampStart is the part of the share that a cold target or region gets at first.
-	rampStart = 0.25
-	// DefaultLimit is the number of candidates of a Request that sets no limit: the attempt, a hedge, and one retry of
-	// each.
+	// initialRamp is the usable part of a target or region that has just become cold.
+	initialRamp = 0.25
+	// DefaultLimit is the number of candidates for a Request without a limit: the first attempt, a hedge, and one retry
+	// of each.
 	DefaultLimit = 4
 )
 
-// TargetState is what one entry VM knows of a target at the time of a snapshot.
+// TargetState is the state of a target as one entry VM sees it at the time of a snapshot.
 type TargetState struct {
-	// ID, Region and FailureDomain identify the target and its place.
+	// ID, Region and FailureDomain identify the target and its location.
 	ID            cardamompass.TargetID
 	Region        cardamompass.Region
 	FailureDomain cardamompass.FailureDomain
@@ -44,38 +45,38 @@
 	UsableSlots int
 	// InFlight is the number of requests that this VM has in flight on the target.
 	InFlight int
-	// OldestStart is the start of the oldest of these requests; zero when there is none.
+	// OldestStart is the start time of the oldest of these requests; zero when there is none.
 	OldestStart time.Time
-	// Slow is set for a while after a request that ended late or lost against its hedge.
+	// Slow is set for a limited time after a request that ended late, or whose hedge was answered first.
 	Slow bool
 	// Overloaded is set while a recent load report shows more requests than slots.
 	Overloaded bool
-	// Leaving is set while any sign says that the target leaves.
+	// Leaving is set while any source reports that the target is leaving.
 	Leaving bool
 	// Failing is set while the target cannot be reached from this VM.
 	Failing bool
-	// ColdSince is when the target started cold or came back; zero when it is warm.
+	// ColdSince is the time at which the target started cold or became usable again; zero when it is warm.
 	ColdSince time.Time
 }
 
-// RegionState is what the VM may use of a region for one service.
+// RegionState is the part of a region that the VM may use for one service.
 type RegionState struct {
 	Region cardamompass.Region
-	// Share is the number of the region's slots that the VM may use, own units and loans.
+	// Share is the number of the region's slots that the VM may use, including borrowed ones.
 	Share int
-	// ColdSince is when this VM's traffic started to shift to the region; zero when it is warm.
+	// ColdSince is the time at which this VM's traffic started to shift to the region; zero when it is warm.
 	ColdSince time.Time
 	// LinkUnits and ShiftUnits report whether units are available for a request that crosses to the region.
 	LinkUnits  bool
 	ShiftUnits bool
 }
 
-// Snapshot is the state on which one decision for one service rests. It is immutable during the decision.
+// Snapshot is the state from which one decision for one service is made. It must not change during the decision.
 type Snapshot struct {
 	Now time.Time
 	// VMRegion is the region of the entry VM.
 	VMRegion cardamompass.Region
-	// Usual is the service's usual latency; zero when it is not known yet.
+	// Usual is the service's usual latency; zero while it is unknown.
 	Usual   time.Duration
 	Targets []TargetState
 	Regions []RegionState
@@ -83,16 +84,16 @@
 
 // Request is the part of a caller's request on which a decision depends.
 type Request struct {
-	// CallerRegion is tried first, then Near in its order.
+	// CallerRegion is tried first, then FallbackRegions in order.
 	CallerRegion    cardamompass.Region
 	FallbackRegions []cardamompass.Region
-	// Exclude lists targets that already carried an attempt of the request.
+	// Exclude lists targets to which an attempt of the request was already sent.
 	Exclude []cardamompass.TargetID
 	// Limit bounds the candidates; DefaultLimit when it is zero.
 	Limit int
 }
 
-// Rank returns the weight of a target for a VM in the rendezvous order.
+// Rank returns the rendezvous hash of a VM and a target.
 func Rank(vid cardamompass.VMID, tid cardamompass.TargetID) (rank uint64) {
 	var buf [128]byte
 	key := append(buf[:0], vid...)
@@ -101,8 +102,8 @@
 	return xxhash.Sum64(key)
 }
 
-// Ramp returns the usable part, from 0.25 to 1, of a target or region that is cold since the given time. The zero
-// time stands for a warm one.
+// Ramp returns the usable part, from 0.25 to 1, of a target or region that has been cold since the given time. A zero
+// since means that it is warm.
 func Ramp(since, now time.Time) (part float64) {
 	if since.IsZero() {
 		return 1
@@ -114,11 +115,11 @@
 	if age < 0 {
 		age = 0
 	}
-	return rampStart + (1-rampStart)*float64(age)/float64(RampUp)
+	return initialRamp + (1-initialRamp)*float64(age)/float64(RampUp)
 }
 
-// Straggler reports whether the target is a straggler: its oldest own request is older than three times the usual
-// latency, or a request on it ended late a short time ago.
+// Straggler reports whether the target is a straggler: the oldest request of this VM on it is older than three times
+// the usual latency, or a request on it recently ended late.
 func (tst *TargetState) Straggler(usual time.Duration, now time.Time) (yes bool) {
 	if tst.Slow {
 		return true
@@ -126,11 +127,11 @@
 	return usual > 0 && !tst.OldestStart.IsZero() && now.Sub(tst.OldestStart) > StragglerFactor*usual
 }
 
-// avoided reports whether the target must get no new work.
+// avoided reports whether the target must get no new requests.
 func (tst *TargetState) avoided() (yes bool) { return tst.Leaving || tst.Failing }
 
-// limit returns the number of own requests that the target may have in flight. A cold target gets at least one, or it
-// would never warm up.
+// limit returns the number of requests that the VM may have in flight on the target. It is at least one for a cold
+// target, which would otherwise never warm up.
 func (tst *TargetState) limit(now time.Time) (slots int) {
 	slots = min(tst.Slots, tst.UsableSlots)
 	if slots <= 0 {
--- a/internal/steer/route/sim_test.go
+++ b/internal/steer/route/sim_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	simVMs      = 7
-	simTargets  = 20
-	simSlots    = 6
-	simShare    = simTargets * simSlots / simVMs
-	simMedian   = 10 * time.Millisecond
-	simSigma    = 0.5 // the p99 of the service time is about 3.2 times its median
-	simLoad     = 0.7
-	simSlow     = 2
-	simFactor   = 10
-	simDelay    = time.Millisecond // one way
-	simLateLoad = 2 * time.Second
-	simSpan     = 10 * time.Second
-	simStep     = 50 * time.Microsecond // resolution of all times
-	simService  = cardamompass.ServiceName("kiosk-core")
-	simRegion   = cardamompass.Region("gulf")
+	simVMs             = 7
+	simTargets         = 20
+	simSlots           = 6
+	simShare           = simTargets * simSlots / simVMs
+	simMedian          = 10 * time.Millisecond
+	simSigma           = 0.5 // the p99 of the service time is about 3.2 times its median
+	simLoad            = 0.7
+	simStragglers      = 2
+	simSlowFactor      = 10
+	simLatency         = time.Millisecond // network latency, one way
+	simLoadReportDelay = 2 * time.Second
+	simDuration        = 10 * time.Second
+	simStep            = 50 * time.Microsecond // resolution of all times
+	simService         = cardamompass.ServiceName("kiosk-core")
+	simRegion          = cardamompass.Region("gulf")
 )
 
 // simConfig selects one run of the discrete-event simulation.
@@ -42,34 +42,34 @@
 
 type simResult struct {
 	p99              time.Duration
-	requests, extras int
-	overShare        int
+	requests, hedges int
+	shareExceeded    int
 }
 
 type sim struct {
 	cfg simConfig
 	rng *rand.Rand
 	now time.Time
-	// next is the exact time of the next arrival, evs the events of each step.
-	next   time.Duration
-	evs    [][]func()
-	vms    []*simVM
-	tgts   map[cardamompass.TargetID]*simTarget
-	ids    []cardamompass.TargetID
-	lats   []time.Duration
-	result simResult
+	// nextArrival is the exact time of the next arrival, events the events of each step.
+	nextArrival time.Duration
+	events      [][]func()
+	vms         []*simVM
+	tgts        map[cardamompass.TargetID]*simTarget
+	ids         []cardamompass.TargetID
+	latencies   []time.Duration
+	result      simResult
 }
 
 var simStart = time.Unix(1_700_000_000, 0)
 
 type simVM struct {
-	trk     *health.Tracker
-	hedges  *budget.Budget
-	snp     route.Snapshot
-	dec     route.Decision
-	turn    uint64
-	waiting []*simRequest
-	flying  int
+	trk      *health.Tracker
+	hedges   *budget.Budget
+	snp      route.Snapshot
+	dec      route.Decision
+	turn     uint64
+	waiting  []*simRequest
+	inFlight int
 }
 
 type simTarget struct {
@@ -101,22 +101,22 @@
 		tgts: make(map[cardamompass.TargetID]*simTarget),
 	}
 	sim.build()
-	sim.after(0, sim.arrive)
-	sim.after(0, sim.report)
+	sim.schedule(0, sim.arrive)
+	sim.schedule(0, sim.reportLoads)
 	if cfg.stragglers {
-		for range simSlow {
-			sim.after(0, sim.straggle)
+		for range simStragglers {
+			sim.schedule(0, sim.runStraggler)
 		}
 	}
-	for step := 0; step < len(sim.evs); step++ {
+	for step := 0; step < len(sim.events); step++ {
 		sim.now = simStart.Add(time.Duration(step) * simStep)
-		for i := 0; i < len(sim.evs[step]); i++ {
-			sim.evs[step][i]()
+		for i := 0; i < len(sim.events[step]); i++ {
+			sim.events[step][i]()
 		}
-		sim.evs[step] = nil
+		sim.events[step] = nil
 	}
-	slices.Sort(sim.lats)
-	sim.result.p99 = sim.lats[len(sim.lats)*99/100]
+	slices.Sort(sim.latencies)
+	sim.result.p99 = sim.latencies[len(sim.latencies)*99/100]
 	return sim.result
 }
 
@@ -150,19 +150,19 @@
 	}
 }
 
-func (sim *sim) after(dur time.Duration, run func()) {
+func (sim *sim) schedule(dur time.Duration, run func()) {
 	step := int((sim.now.Sub(simStart) + dur) / simStep)
-	for len(sim.evs) <= step {
-		sim.evs = append(sim.evs, nil)
+	for len(sim.events) <= step {
+		sim.events = append(sim.events, nil)
 	}
-	sim.evs[step] = append(sim.evs[step], run)
+	sim.events[step] = append(sim.events[step], run)
 }
 
-func (sim *sim) open() bool { return sim.now.Sub(simStart) < simSpan }
+func (sim *sim) running() bool { return sim.now.Sub(simStart) < simDuration }
 
 // arrive starts one request at a random VM and schedules the next one.
 func (sim *sim) arrive() {
-	if !sim.open() {
+	if !sim.running() {
 		return
 	}
 	mean, factor := math.Exp(simSigma*simSigma/2), math.Exp(simSigma*sim.rng.NormFloat64())
@@ -170,8 +170,8 @@
 		mean, factor = 1, sim.rng.ExpFloat64()
 	}
 	gap := mean * float64(simMedian) / (simLoad * simTargets * simSlots)
-	sim.next += time.Duration(sim.rng.ExpFloat64() * gap)
-	sim.after(sim.next-sim.now.Sub(simStart), sim.arrive)
+	sim.nextArrival += time.Duration(sim.rng.ExpFloat64() * gap)
+	sim.schedule(sim.nextArrival-sim.now.Sub(simStart), sim.arrive)
 	req := &simRequest{
 		vm:      sim.vms[sim.rng.IntN(simVMs)],
 		arrived: sim.now,
@@ -180,18 +180,18 @@
 	sim.result.requests++
 	req.vm.hedges.Request(sim.now)
 	req.vm.waiting = append(req.vm.waiting, req)
-	sim.place(req.vm)
+	sim.startWaiting(req.vm)
 }
 
-// report samples the load of all targets and delivers it late.
-func (sim *sim) report() {
-	if !sim.open() {
+// reportLoads samples the load of all targets and delivers the reports after simLoadReportDelay.
+func (sim *sim) reportLoads() {
+	if !sim.running() {
 		return
 	}
-	sim.after(simLateLoad/4, sim.report)
+	sim.schedule(simLoadReportDelay/4, sim.reportLoads)
 	for _, tid := range sim.ids {
 		load := sim.tgts[tid].running + len(sim.tgts[tid].queue)
-		sim.after(simLateLoad, func() {
+		sim.schedule(simLoadReportDelay, func() {
 			for _, vmc := range sim.vms {
 				vmc.trk.RecordLoad(tid, load, simSlots, sim.now)
 			}
@@ -199,24 +199,24 @@
 	}
 }
 
-// straggle makes a random target slow for some seconds, and then the next one.
-func (sim *sim) straggle() {
+// runStraggler makes a random target slow for some seconds and then repeats with another one.
+func (sim *sim) runStraggler() {
 	tgt := sim.tgts[sim.ids[sim.rng.IntN(simTargets)]]
 	for tgt.slow {
 		tgt = sim.tgts[sim.ids[sim.rng.IntN(simTargets)]]
 	}
-	tgt.slow = sim.open()
+	tgt.slow = sim.running()
 	if !tgt.slow {
 		return
 	}
-	sim.after(time.Second+time.Duration(sim.rng.Float64()*float64(4*time.Second)), func() {
+	sim.schedule(time.Second+time.Duration(sim.rng.Float64()*float64(4*time.Second)), func() {
 		tgt.slow = false
-		sim.straggle()
+		sim.runStraggler()
 	})
 }
 
-// place begins the requests that wait at the VM, as far as there is room.
-func (sim *sim) place(vmc *simVM) {
+// startWaiting starts the requests that wait at the VM while there is free capacity.
+func (sim *sim) startWaiting(vmc *simVM) {
 	for len(vmc.waiting) > 0 {
 		req := vmc.waiting[0]
 		if !sim.attempt(req, nil) {
@@ -225,7 +225,7 @@
 		vmc.waiting = vmc.waiting[1:]
 		if !sim.cfg.naive {
 			lat := vmc.trk.Latency(simService)
-			sim.after(budget.HedgeDelay(lat.P95, lat.Usual), func() { sim.hedge(req) })
+			sim.schedule(budget.HedgeDelay(lat.P95, lat.Usual), func() { sim.hedge(req) })
 		}
 	}
 }
@@ -251,9 +251,9 @@
 	if !ok {
 		return false
 	}
-	vmc.flying++
-	if !sim.cfg.naive && vmc.flying > simShare {
-		sim.result.overShare++
+	vmc.inFlight++
+	if !sim.cfg.naive && vmc.inFlight > simShare {
+		sim.result.shareExceeded++
 	}
 	atm := &simAttempt{
 		req: req,
@@ -261,7 +261,7 @@
 		tok: vmc.trk.Begin(cnd.Target, sim.now),
 	}
 	req.attempts = append(req.attempts, atm)
-	sim.after(simDelay, func() {
+	sim.schedule(simLatency, func() {
 		tgt := sim.tgts[atm.tid]
 		tgt.queue = append(tgt.queue, atm)
 		sim.serve(tgt)
@@ -275,7 +275,7 @@
 	}
 	exclude := []cardamompass.TargetID{req.attempts[0].tid}
 	sim.decide(req.vm, exclude)
-	_, room := req.vm.dec.Best()
+	_, free := req.vm.dec.Best()
 	lat := req.vm.trk.Latency(simService)
 	rsn := req.vm.hedges.TryHedge(budget.HedgeInput{
 		Idempotent:  true,
@@ -283,12 +283,12 @@
 		Age:         sim.now.Sub(req.arrived),
 		Left:        time.Minute,
 		Usual:       lat.Usual,
-		HasCapacity: room,
+		HasCapacity: free,
 	}, sim.now)
 	if rsn == budget.HedgeAllowed && sim.attempt(req, exclude) {
-		sim.result.extras++
+		sim.result.hedges++
 	} else if rsn == budget.HedgeNoBudget || rsn == budget.HedgeNoCapacity {
-		sim.after(simMedian, func() { sim.hedge(req) })
+		sim.schedule(simMedian, func() { sim.hedge(req) })
 	}
 }
 
@@ -303,27 +303,27 @@
 		atm.running = true
 		work := atm.req.work
 		if tgt.slow {
-			work *= simFactor
+			work *= simSlowFactor
 		}
-		sim.after(work, func() {
+		sim.schedule(work, func() {
 			if atm.running {
 				atm.running = false
 				tgt.running--
 				sim.serve(tgt)
-				sim.after(simDelay, func() { sim.answer(atm) })
+				sim.schedule(simLatency, func() { sim.answer(atm) })
 			}
 		})
 	}
 }
 
-// answer ends the request with its first answer and cancels the other attempt.
+// answer ends the request with its first response and cancels the other attempt.
 func (sim *sim) answer(atm *simAttempt) {
 	req := atm.req
 	if req.done {
 		return
 	}
 	req.done = true
-	sim.lats = append(sim.lats, sim.now.Sub(req.arrived))
+	sim.latencies = append(sim.latencies, sim.now.Sub(req.arrived))
 	for _, one := range req.attempts {
 		res := health.Answered
 		if one != atm {
@@ -332,9 +332,9 @@
 				res = health.HedgeLost
 			}
 		}
-		req.vm.flying--
+		req.vm.inFlight--
 		req.vm.trk.Done(one.tok, sim.now, res)
-		sim.after(simDelay, func() {
+		sim.schedule(simLatency, func() {
 			if tgt := sim.tgts[one.tid]; one.running {
 				one.running = false
 				tgt.running--
@@ -342,5 +342,5 @@
 			}
 		})
 	}
-	sim.place(req.vm)
+	sim.startWaiting(req.vm)
 }
