--- a/internal/steer/guard/arbiter.go
+++ b/internal/steer/guard/arbiter.go
@@ -7,52 +7,53 @@
 	"cardamompass"
 )
 
-// Arbiter lets the suspects of only one VM at a time run on a target. Guards see the suspects of their own VM; two suspects of
-// different VMs on a target that crashes could not be told apart. All VMs ask the same one about a target. An Arbiter keeps its
-// reservations in memory, so that a VM that takes over for another one grants targets that are still in use; suspects may then meet, as
-// they may when VMs do not reach each other. It is safe for concurrent use and reads no clock.
+// Arbiter allows the suspects of only one VM at a time to run on a target. A Guard sees only the suspects of its own VM, and if a target
+// crashes while suspects of two VMs run on it, the cause can't be determined. All VMs use the Arbiter of the same VM for a target. An
+// Arbiter keeps its reservations in memory only, so a VM that takes over the role may grant targets that are still reserved. Suspects of
+// two VMs may then run on one target, as they may when VMs can't reach each other. An Arbiter is safe for concurrent use and reads no
+// clock.
 type Arbiter struct {
-	mut  sync.Mutex
-	held map[cardamompass.TargetID]reservation
+	mut          sync.Mutex
+	reservations map[cardamompass.TargetID]reservation
 }
 
 type reservation struct {
-	vmid  cardamompass.VMID
-	until time.Time
+	holder cardamompass.VMID
+	until  time.Time
 }
 
 // NewArbiter returns an Arbiter without reservations.
 func NewArbiter() (arb *Arbiter) {
 	return &Arbiter{
-		held: make(map[cardamompass.TargetID]reservation),
+		reservations: make(map[cardamompass.TargetID]reservation),
 	}
 }
 
-// Reserve reports whether suspects of the VM may run on the target. The target is then reserved for it until Release or until left has
-// passed. A VM that holds the target already keeps it for the longer time.
+// Reserve reports whether suspects of the VM may run on the target. If so, the target is reserved for the VM until Release is called or
+// left has passed. When the VM already holds a reservation, the later end applies.
 func (arb *Arbiter) Reserve(tid cardamompass.TargetID, vid cardamompass.VMID, left time.Duration, now time.Time) (ok bool) {
 	arb.mut.Lock()
 	defer arb.mut.Unlock()
-	res, held := arb.held[tid]
-	if held && res.vmid != vid && now.Before(res.until) {
+	res, held := arb.reservations[tid]
+	if held && res.holder != vid && now.Before(res.until) {
 		return false
 	}
 	until := now.Add(left)
-	if held && res.vmid == vid {
+	if held && res.holder == vid {
 		until = latest(res.until, until)
 	}
-	arb.held[tid] = reservation{
-		vmid:  vid,
-		until: until,
+	arb.reservations[tid] = reservation{
+		holder: vid,
+		until:  until,
 	}
 	return true
 }
 
-// Release ends the reservation of the target if the VM holds it.
+// Release ends the reservation of the target if it is held by the VM.
 func (arb *Arbiter) Release(tid cardamompass.TargetID, vid cardamompass.VMID) {
 	arb.mut.Lock()
 	defer arb.mut.Unlock()
-	if arb.held[tid].vmid == vid {
-		delete(arb.held, tid)
+	if arb.reservations[tid].holder == vid {
+		delete(arb.reservations, tid)
 	}
 }
--- a/internal/steer/guard/arbiter_test.go
+++ b/internal/steer/guard/arbiter_test.go
@@ -8,7 +8,7 @@
 	"cardamompass/internal/steer/guard"
 )
 
-// TestArbiter guards against suspects of two VMs on one target, and against a target that stays reserved for ever.
+// TestArbiter guards against suspects of two VMs on one target, and against a reservation that never ends.
 func TestArbiter(t *testing.T) {
 	const left = time.Second
 	now := time.Unix(1_700_000_000, 0)
@@ -25,7 +25,7 @@
 		{"still reserved", "vm-2", left / 2, false, false},
 		{"once more by the holder", "vm-1", left / 2, false, true},
 		{"extended", "vm-2", left, false, false},
-		{"ended by itself", "vm-2", 3 * left / 2, false, true},
+		{"expired", "vm-2", 3 * left / 2, false, true},
 		{"release by the holder", "vm-2", 3 * left / 2, true, false},
 		{"free again", "vm-1", 3 * left / 2, false, true},
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestWithdrawnRun guards against blocking a content that was never sent to the target that crashed: a claim that was given back
-// counted as in flight for two seconds.
+// TestWithdrawnRun guards against blocking a content that was never sent to the target that crashed. This happened when a released claim
+// counted as in flight for another two seconds.
 func TestWithdrawnRun(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	grd := guard.New(guard.Config{Self: "vm-1"})
@@ -57,15 +57,15 @@
 	}
 	grd.Withdrawn(key, "tgt-2")
 	if rep := grd.Crashed("tgt-2", now, now); !rep.Empty() {
-		t.Fatalf("the crash is put down to a content that was not sent: %+v", rep)
+		t.Fatalf("the crash is attributed to a content that was not sent: %+v", rep)
 	}
 	if ver := grd.Admit(key, "tgt-3", now); ver.Action != guard.Run {
 		t.Fatalf("verdict %+v", ver)
 	}
 }
 
-// TestSuspectsOfTwoVMs guards against blocking a harmless content with a crashing one. Both were in flight on a target that crashed, and
-// each VM ran its own as a suspect on the next target, which crashed too; TestCrashes of the package limit found it.
+// TestSuspectsOfTwoVMs guards against blocking a harmless content together with a crashing one. Both were in flight on a target that
+// crashed, and each VM ran its own as a suspect on the next target, which crashed too. TestCrashes of the package limit found this fault.
 func TestSuspectsOfTwoVMs(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	crashing, harmless := keyOf("/crashing"), keyOf("/harmless")
@@ -92,7 +92,7 @@
 		t.Fatalf("the crashing content is not blocked: %+v", rep)
 	}
 	if rep := two.Crashed("b", now, now); !rep.Empty() {
-		t.Fatalf("the crash is put down to the harmless content: %+v", rep)
+		t.Fatalf("the crash is attributed to the harmless content: %+v", rep)
 	}
 	arb.Release("b", "vm-1")
 	if !run(two, harmless, "vm-2") {
--- a/internal/steer/guard/guard_test.go
+++ b/internal/steer/guard/guard_test.go
@@ -28,100 +28,100 @@
 	})
 }
 
-// world is 7 guards with or without delivery of their reports.
-type world struct {
-	rng  *rand.Rand
-	now  time.Time
-	grds []*guard.Guard
-	lost bool
+// simulation is 7 guards with or without delivery of their reports.
+type simulation struct {
+	rng         *rand.Rand
+	now         time.Time
+	grds        []*guard.Guard
+	dropReports bool
 }
 
-func newWorld(num uint64, lost bool) *world {
-	wld := &world{
-		rng:  rand.New(rand.NewPCG(num, 0)),
-		now:  time.Unix(1_700_000_000, 0),
-		lost: lost,
+func newSimulation(num uint64, lost bool) *simulation {
+	sim := &simulation{
+		rng:         rand.New(rand.NewPCG(num, 0)),
+		now:         time.Unix(1_700_000_000, 0),
+		dropReports: lost,
 	}
 	for i := range vms {
-		wld.grds = append(wld.grds, guard.New(guard.Config{Self: cardamompass.VMID(fmt.Sprint("vm-", i))}))
+		sim.grds = append(sim.grds, guard.New(guard.Config{Self: cardamompass.VMID(fmt.Sprint("vm-", i))}))
 	}
-	return wld
+	return sim
 }
 
-func (wld *world) tick() { wld.now = wld.now.Add(time.Millisecond) }
+func (sim *simulation) tick() { sim.now = sim.now.Add(time.Millisecond) }
 
-func (wld *world) any() *guard.Guard { return wld.grds[wld.rng.IntN(vms)] }
+func (sim *simulation) randomGuard() *guard.Guard { return sim.grds[sim.rng.IntN(vms)] }
 
-func (wld *world) target() cardamompass.TargetID {
-	return cardamompass.TargetID(fmt.Sprint("tgt-", wld.rng.IntN(3)))
+func (sim *simulation) randomTarget() cardamompass.TargetID {
+	return cardamompass.TargetID(fmt.Sprint("tgt-", sim.rng.IntN(3)))
 }
 
-func (wld *world) deliver(rep guard.Report) {
-	for _, grd := range wld.grds {
-		if !wld.lost {
-			grd.Merge(rep, wld.now)
+func (sim *simulation) deliver(rep guard.Report) {
+	for _, grd := range sim.grds {
+		if !sim.dropReports {
+			grd.Merge(rep, sim.now)
 		}
 	}
 }
 
-// crash lets all VMs notice the crash, some of them on two connections, and delivers their reports afterwards.
-func (wld *world) crash(tid cardamompass.TargetID) {
-	broke := wld.now
-	wld.tick()
+// crash reports the crash to the guards of all VMs, to some of them on two connections, and delivers their reports afterwards.
+func (sim *simulation) crash(tid cardamompass.TargetID) {
+	broke := sim.now
+	sim.tick()
 	var reps []guard.Report
-	for _, grd := range wld.grds {
-		reps = append(reps, grd.Crashed(tid, broke, wld.now))
-		if wld.rng.IntN(2) == 0 {
-			reps = append(reps, grd.Crashed(tid, broke, wld.now))
+	for _, grd := range sim.grds {
+		reps = append(reps, grd.Crashed(tid, broke, sim.now))
+		if sim.rng.IntN(2) == 0 {
+			reps = append(reps, grd.Crashed(tid, broke, sim.now))
 		}
 	}
 	for _, rep := range reps {
-		wld.deliver(rep)
+		sim.deliver(rep)
 	}
 }
 
-// answer runs each innocent alone and answers it. None may wait or be refused.
-func (wld *world) answer(innocents []guard.Key) (fault string) {
-	for _, key := range innocents {
-		wld.tick()
-		grd, tid := wld.any(), wld.target()
-		if ver := grd.Admit(key, tid, wld.now); ver.Action != guard.Run {
-			return "innocent does not run: " + ver.Reason
+// runHarmless runs each harmless content alone and completes it with a response. None may wait or be refused.
+func (sim *simulation) runHarmless(harmless []guard.Key) (fault string) {
+	for _, key := range harmless {
+		sim.tick()
+		grd, tid := sim.randomGuard(), sim.randomTarget()
+		if ver := grd.Admit(key, tid, sim.now); ver.Action != guard.Run {
+			return "harmless content does not run: " + ver.Reason
 		}
-		wld.deliver(grd.Succeeded(key, tid, wld.now))
+		sim.deliver(grd.Succeeded(key, tid, sim.now))
 	}
 	return ""
 }
 
 // resend re-sends one crashing content after each outcome through random VMs and returns the number of crashed targets.
-// Innocents run beside it as soon as each was answered once after the last crash; before, they may be blocked.
-func (wld *world) resend(steps int) (crashes int, fault string) {
-	bad, innocents, clean := keyOf("/crash"), []guard.Key{keyOf("/1"), keyOf("/2"), keyOf("/3")}, true
+// Harmless contents run beside it only after each of them got a response since the last crash; earlier they may be blocked.
+func (sim *simulation) resend(steps int) (crashes int, fault string) {
+	bad, harmless, clean := keyOf("/crash"), []guard.Key{keyOf("/1"), keyOf("/2"), keyOf("/3")}, true
 	for range steps {
-		wld.tick()
-		tid := wld.target()
-		if wld.rng.IntN(2) == 0 {
-			if fault = wld.answer(innocents); fault != "" {
+		sim.tick()
+		tid := sim.randomTarget()
+		if sim.rng.IntN(2) == 0 {
+			if fault = sim.runHarmless(harmless); fault != "" {
 				return crashes, fault
 			}
 			clean = true
 		}
 		var answers []func()
-		for _, key := range innocents {
-			grd := wld.any()
-			if !clean || wld.rng.IntN(2) == 0 {
+		for _, key := range harmless {
+			grd := sim.randomGuard()
+			if !clean || sim.rng.IntN(2) == 0 {
 				continue
 			}
-			if ver := grd.Admit(key, tid, wld.now); ver.Action != guard.Run {
-				return crashes, "innocent does not run: " + ver.Reason
+			if ver := grd.Admit(key, tid, sim.now); ver.Action != guard.Run {
+				return crashes, "harmless content does not run: " + ver.Reason
 			}
-			answers = append(answers, func() { wld.deliver(grd.Succeeded(key, tid, wld.now)) })
+			answers = append(answers, func() { sim.deliver(grd.Succeeded(key, tid, sim.now)) })
 		}
-		wld.tick()
-		if wld.any().Admit(bad, tid, wld.now).Action == guard.Run {
+		sim.tick()
+		if sim.randomGuard().Admit(bad, tid, sim.now).Action == guard.Run {
 			crashes++
 			clean = false
-			wld.crash(tid)
+			sim.crash(tid)
 			continue
 		}
 		for _, answer := range answers {
@@ -132,25 +132,25 @@
 }
 
 // Guards against a content that crashes more than two targets by being re-sent through other VMs, and against the refusal
-// of innocents beside it.
+// of harmless contents that run at the same time.
 func TestBoundWithReports(t *testing.T) {
 	prs := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(*seed))
-	prs.Property("two crashes, innocents unharmed", prop.ForAll(func(num uint64) string {
-		crashes, fault := newWorld(num, false).resend(60)
+	prs.Property("two crashes, harmless contents not refused", prop.ForAll(func(num uint64) string {
+		crashes, fault := newSimulation(num, false).resend(60)
 		if crashes > 2 {
 			return fmt.Sprint(crashes, " targets crashed")
 		}
 		return fault
 	}, gen.UInt64()))
 	prs.Property("two crashes for each VM without reports", prop.ForAll(func(num uint64) string {
-		wld := newWorld(num, true)
+		sim := newSimulation(num, true)
 		bad, crashes := keyOf("/crash"), 0
 		for range 200 {
-			wld.tick()
-			tid := wld.target()
-			if wld.any().Admit(bad, tid, wld.now).Action == guard.Run {
+			sim.tick()
+			tid := sim.randomTarget()
+			if sim.randomGuard().Admit(bad, tid, sim.now).Action == guard.Run {
 				crashes++
-				wld.crash(tid)
+				sim.crash(tid)
 			}
 		}
 		if crashes > 2*vms {
@@ -161,7 +161,7 @@
 	prs.TestingRun(t)
 }
 
-// Guards against records that outgrow their bound, blocks that never end, and two suspects side by side.
+// Guards against more records than the bound, blocks that never end, and two suspects on one target.
 func TestRules(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	crash := func(grd *guard.Guard, key guard.Key) {
@@ -180,7 +180,7 @@
 			t.Fatalf("%d records", count)
 		}
 		if ver := grd.Admit(keyOf("/blocked"), "a", now); ver.Action != guard.Refuse {
-			t.Fatalf("suspects pushed out a block: %v", ver)
+			t.Fatalf("suspects evicted a block: %v", ver)
 		}
 	})
 	t.Run("block without end", func(t *testing.T) {
@@ -195,7 +195,7 @@
 			t.Fatalf("verdict after the end %+v", ver)
 		}
 	})
-	t.Run("suspects side by side", func(t *testing.T) {
+	t.Run("suspects on one target", func(t *testing.T) {
 		grd := guard.New(guard.Config{})
 		crash(grd, keyOf("/x"))
 		crash(grd, keyOf("/y"))
@@ -210,7 +210,7 @@
 			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
-	t.Run("late notice of one crash counted twice", func(t *testing.T) {
+	t.Run("one crash counted twice because of a late report", func(t *testing.T) {
 		grd := guard.New(guard.Config{})
 		crash(grd, keyOf("/x"))
 		broke := now
@@ -221,7 +221,7 @@
 			t.Fatalf("entries %+v", ents)
 		}
 	})
-	t.Run("crash after the caller gave up", func(t *testing.T) {
+	t.Run("crash after the request was cancelled", func(t *testing.T) {
 		grd := guard.New(guard.Config{})
 		grd.Admit(keyOf("/x"), "a", now)
 		grd.Ended(keyOf("/x"), "a", now)
--- a/internal/steer/guard/key.go
+++ b/internal/steer/guard/key.go
@@ -9,8 +9,9 @@
 )
 
 // Key identifies the content of a request: the first 128 bits of a SHA-256 hash. A block refuses every request with its
-// key, so the hash must resist a caller who searches for two contents with one key to get others refused. xxHash does
-// not; SHA-256 truncated to 128 bits takes about 2^64 work for a collision and 2^128 to match a given request.
+// key, so the hash must be collision-resistant: otherwise a caller could construct two contents with one key to get the
+// requests of others refused. xxHash is not; for SHA-256 truncated to 128 bits a collision takes about 2^64 work, and a
+// match of a given request about 2^128.
 type Key [16]byte
 
 // String returns the key in hexadecimal digits.
@@ -24,7 +25,7 @@
 	hsh := sha256.New()
 	var size [8]byte
 	write := func(part []byte) {
-		// The length before each part keeps different splits of the same bytes apart.
+		// The length prefix distinguishes different splits of the same bytes.
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		hsh.Write(size[:])
 		hsh.Write(part)
--- a/internal/steer/guard/state.go
+++ b/internal/steer/guard/state.go
@@ -8,12 +8,12 @@
 	"cardamompass"
 )
 
-// state decides from events and the times that come with them. It takes no lock.
+// state is the state of a Guard. Its decisions depend only on events and their times. It takes no lock.
 type state struct {
-	cfg  Config
-	seq  uint64
-	recs map[Key]*record
-	// runs holds the runs in flight, and for a short time those that ended without an answer.
+	cfg     Config
+	seq     uint64
+	records map[Key]*record
+	// runs holds the runs in flight, and for crashGrace those that ended without a response.
 	runs map[cardamompass.TargetID][]run
 	// copies counts the runs in flight of each content.
 	copies map[Key]int
@@ -21,42 +21,42 @@
 
 // record is a suspect or a blocked content.
 type record struct {
-	marks   []SuspicionID
-	blocked bool
-	until   time.Time
+	suspicions []SuspicionID
+	blocked    bool
+	until      time.Time
 }
 
 // run is one request on one target.
 type run struct {
 	key   Key
-	begun time.Time
-	// suspect is set when the content was a suspect at its admission, so that a crash is its second one.
+	start time.Time
+	// suspect is set when the content was a suspect at its admission, so that a crash of the target is its second one.
 	suspect bool
-	// ended is the end of a run without an answer; zero while it is in flight.
+	// ended is the end time of a run without a response; zero while it is in flight.
 	ended time.Time
 }
 
 func newState(cfg Config) (sta state) {
 	return state{
-		cfg:    cfg,
-		recs:   make(map[Key]*record),
-		runs:   make(map[cardamompass.TargetID][]run),
-		copies: make(map[Key]int),
+		cfg:     cfg,
+		records: make(map[Key]*record),
+		runs:    make(map[cardamompass.TargetID][]run),
+		copies:  make(map[Key]int),
 	}
 }
 
-// live returns the record of the content unless it has expired.
-func (sta *state) live(key Key, now time.Time) (rec *record) {
-	rec = sta.recs[key]
+// record returns the record of the content, or nil if there is none or it has expired.
+func (sta *state) record(key Key, now time.Time) (rec *record) {
+	rec = sta.records[key]
 	if rec == nil || now.Before(rec.until) {
 		return rec
 	}
-	delete(sta.recs, key)
+	delete(sta.records, key)
 	return nil
 }
 
 func (sta *state) admit(key Key, tid cardamompass.TargetID, now time.Time) (ver Verdict) {
-	rec := sta.live(key, now)
+	rec := sta.record(key, now)
 	switch {
 	case rec == nil:
 	case rec.blocked:
@@ -70,7 +70,7 @@
 			Action: WaitCopy,
 			Reason: "content is suspected of crashing its target and another copy of it runs",
 		}
-	case sta.suspectOn(tid, now):
+	case sta.hasSuspect(tid, now):
 		return Verdict{
 			Action: WaitOtherSuspect,
 			Reason: "content is suspected of crashing its target and another suspect runs on the target",
@@ -79,7 +79,7 @@
 	sta.copies[key]++
 	sta.runs[tid] = append(sta.runs[tid], run{
 		key:     key,
-		begun:   now,
+		start:   now,
 		suspect: rec != nil,
 	})
 	return Verdict{
@@ -88,49 +88,50 @@
 	}
 }
 
-// suspectOn reports whether a suspect is in flight on the target, including contents that became suspects during their
+// hasSuspect reports whether a suspect is in flight on the target, including contents that became suspects during their
 // run.
-func (sta *state) suspectOn(tid cardamompass.TargetID, now time.Time) (yes bool) {
+func (sta *state) hasSuspect(tid cardamompass.TargetID, now time.Time) (yes bool) {
 	return slices.ContainsFunc(sta.runs[tid], func(one run) bool {
-		return one.ended.IsZero() && (one.suspect || sta.live(one.key, now) != nil)
+		return one.ended.IsZero() && (one.suspect || sta.record(one.key, now) != nil)
 	})
 }
 
-// find returns the position of the oldest run in flight of the content on the target, or -1.
-func (sta *state) find(key Key, tid cardamompass.TargetID) (pos int) {
+// oldestRun returns the position of the oldest run in flight of the content on the target, or -1.
+func (sta *state) oldestRun(key Key, tid cardamompass.TargetID) (pos int) {
 	return slices.IndexFunc(sta.runs[tid], func(one run) bool { return one.key == key && one.ended.IsZero() })
 }
 
 func (sta *state) succeeded(key Key, tid cardamompass.TargetID, now time.Time) (rep Report) {
-	pos := sta.find(key, tid)
+	pos := sta.oldestRun(key, tid)
 	if pos < 0 {
-		// A crash has already taken the run. The answer came before it, but the crash may still be its effect.
+		// The run was removed when the target crashed. The response came before the crash, but the run may still be its
+		// cause, so the suspicion stays.
 		return Report{}
 	}
-	sta.release(key)
+	sta.removeCopy(key)
 	sta.setRuns(tid, slices.Delete(sta.runs[tid], pos, pos+1))
-	rec := sta.live(key, now)
+	rec := sta.record(key, now)
 	if rec == nil || rec.blocked {
 		return Report{}
 	}
-	delete(sta.recs, key)
+	delete(sta.records, key)
 	return Report{
 		Clears: []Clear{{
 			Key:   key,
-			Marks: rec.marks,
+			Marks: rec.suspicions,
 		}},
 	}
 }
 
 func (sta *state) ended(key Key, tid cardamompass.TargetID, now time.Time) {
-	pos := sta.find(key, tid)
+	pos := sta.oldestRun(key, tid)
 	if pos < 0 {
 		return
 	}
-	sta.release(key)
+	sta.removeCopy(key)
 	sta.runs[tid][pos].ended = now
 	sta.setRuns(tid, slices.DeleteFunc(sta.runs[tid], func(one run) bool {
-		return !one.ended.IsZero() && now.Sub(one.ended) > linger
+		return !one.ended.IsZero() && now.Sub(one.ended) > crashGrace
 	}))
 }
 
@@ -144,11 +145,11 @@
 	if pos < 0 {
 		return
 	}
-	sta.release(key)
+	sta.removeCopy(key)
 	sta.setRuns(tid, slices.Delete(sta.runs[tid], pos, pos+1))
 }
 
-func (sta *state) release(key Key) {
+func (sta *state) removeCopy(key Key) {
 	if sta.copies[key]--; sta.copies[key] <= 0 {
 		delete(sta.copies, key)
 	}
@@ -165,23 +166,23 @@
 func (sta *state) crashed(tid cardamompass.TargetID, broke, now time.Time) (rep Report) {
 	left := make([]run, 0, len(sta.runs[tid]))
 	for _, one := range sta.runs[tid] {
-		if one.begun.After(broke) {
+		if one.start.After(broke) {
 			left = append(left, one)
 			continue
 		}
 		if one.ended.IsZero() {
-			sta.release(one.key)
-		} else if broke.Sub(one.ended) > linger {
+			sta.removeCopy(one.key)
+		} else if broke.Sub(one.ended) > crashGrace {
 			continue
 		}
-		sta.accuse(one, tid, now, &rep)
+		sta.recordCrash(one, tid, now, &rep)
 	}
 	sta.setRuns(tid, left)
 	return rep
 }
 
-// accuse blocks a content that ran as a suspect, and makes any other content a suspect.
-func (sta *state) accuse(one run, tid cardamompass.TargetID, now time.Time, rep *Report) {
+// recordCrash blocks the content of a run that was admitted as a suspect, and makes any other content a suspect.
+func (sta *state) recordCrash(one run, tid cardamompass.TargetID, now time.Time, rep *Report) {
 	if one.suspect {
 		sta.block(one.key, now.Add(sta.cfg.TTL), now)
 		rep.Blocks = append(rep.Blocks, Block{
@@ -196,7 +197,7 @@
 		Incarnation: sta.cfg.Incarnation,
 		Seq:         sta.seq,
 	}
-	sta.suspect(one.key, mrk, now.Add(sta.cfg.TTL), now)
+	sta.addSuspicion(one.key, mrk, now.Add(sta.cfg.TTL), now)
 	rep.Suspicions = append(rep.Suspicions, Suspicion{
 		Key:    one.key,
 		Mark:   mrk,
@@ -205,21 +206,21 @@
 	})
 }
 
-func (sta *state) suspect(key Key, mrk SuspicionID, until, now time.Time) {
-	rec := sta.ensure(key, now)
-	if rec.blocked || slices.Contains(rec.marks, mrk) {
+func (sta *state) addSuspicion(key Key, mrk SuspicionID, until, now time.Time) {
+	rec := sta.recordOrNew(key, now)
+	if rec.blocked || slices.Contains(rec.suspicions, mrk) {
 		return
 	}
-	if len(rec.marks) == maxMarks {
-		rec.marks = slices.Delete(rec.marks, 0, 1)
+	if len(rec.suspicions) == maxSuspicions {
+		rec.suspicions = slices.Delete(rec.suspicions, 0, 1)
 	}
-	// The slice may be in a report already.
-	rec.marks = append(slices.Clip(rec.marks), mrk)
+	// Clip forces a copy, because the slice may already be part of a report.
+	rec.suspicions = append(slices.Clip(rec.suspicions), mrk)
 	rec.until = latest(rec.until, until)
 }
 
 func (sta *state) block(key Key, until, now time.Time) {
-	rec := sta.ensure(key, now)
+	rec := sta.recordOrNew(key, now)
 	if !rec.blocked {
 		rec.blocked, rec.until = true, until
 		return
@@ -227,41 +228,42 @@
 	rec.until = latest(rec.until, until)
 }
 
-// ensure returns the record of the content, and makes room for it if it is new.
-func (sta *state) ensure(key Key, now time.Time) (rec *record) {
-	if rec = sta.live(key, now); rec != nil {
+// recordOrNew returns the record of the content. If there is none, it adds one and evicts another if necessary.
+func (sta *state) recordOrNew(key Key, now time.Time) (rec *record) {
+	if rec = sta.record(key, now); rec != nil {
 		return rec
 	}
-	if len(sta.recs) >= sta.cfg.MaxRecords {
+	if len(sta.records) >= sta.cfg.MaxRecords {
 		sta.evict(now)
 	}
 	rec = &record{}
-	sta.recs[key] = rec
+	sta.records[key] = rec
 	return rec
 }
 
-// evict removes all expired records, or else one: the suspect that ends first, or the block that ends first.
+// evict removes all expired records. If there are none, it removes the suspect that ends first, or else the block that ends
+// first.
 func (sta *state) evict(now time.Time) {
-	var worst Key
+	var victim Key
 	var found *record
 	expired := false
-	for key, rec := range sta.recs {
+	for key, rec := range sta.records {
 		if !now.Before(rec.until) {
-			delete(sta.recs, key)
+			delete(sta.records, key)
 			expired = true
 			continue
 		}
-		if found == nil || before(rec, found) {
-			worst, found = key, rec
+		if found == nil || evictedBefore(rec, found) {
+			victim, found = key, rec
 		}
 	}
 	if !expired {
-		delete(sta.recs, worst)
+		delete(sta.records, victim)
 	}
 }
 
-// before reports whether one is given up sooner than two.
-func before(one, two *record) (yes bool) {
+// evictedBefore reports whether one is evicted before two.
+func evictedBefore(one, two *record) (yes bool) {
 	if one.blocked != two.blocked {
 		return two.blocked
 	}
@@ -270,7 +272,7 @@
 
 func (sta *state) merge(rep Report, now time.Time) {
 	for _, sus := range rep.Suspicions {
-		sta.suspect(sus.Key, sus.Mark, now.Add(min(sus.Left, sta.cfg.TTL)), now)
+		sta.addSuspicion(sus.Key, sus.Mark, now.Add(min(sus.Left, sta.cfg.TTL)), now)
 	}
 	for _, blk := range rep.Blocks {
 		sta.block(blk.Key, now.Add(min(blk.Left, sta.cfg.TTL)), now)
@@ -280,26 +282,26 @@
 	}
 }
 
-// clear ends the suspicions that the clearing VM knew. A later crash keeps the content a suspect.
+// clear ends the suspicions that the report lists. The content stays a suspect if others remain, as after a later crash.
 func (sta *state) clear(clr Clear, now time.Time) {
-	rec := sta.live(clr.Key, now)
+	rec := sta.record(clr.Key, now)
 	if rec == nil || rec.blocked {
 		return
 	}
-	marks := make([]SuspicionID, 0, len(rec.marks))
-	for _, mrk := range rec.marks {
+	suspicions := make([]SuspicionID, 0, len(rec.suspicions))
+	for _, mrk := range rec.suspicions {
 		if !slices.Contains(clr.Marks, mrk) {
-			marks = append(marks, mrk)
+			suspicions = append(suspicions, mrk)
 		}
 	}
-	rec.marks = marks
-	if len(marks) == 0 {
-		delete(sta.recs, clr.Key)
+	rec.suspicions = suspicions
+	if len(suspicions) == 0 {
+		delete(sta.records, clr.Key)
 	}
 }
 
 func (sta *state) entries(now time.Time) (ents []Entry) {
-	for key, rec := range sta.recs {
+	for key, rec := range sta.records {
 		if !now.Before(rec.until) {
 			continue
 		}
@@ -307,7 +309,7 @@
 			Key:        key,
 			Blocked:    rec.blocked,
 			Until:      rec.until,
-			Suspicions: len(rec.marks),
+			Suspicions: len(rec.suspicions),
 		})
 	}
 	slices.SortFunc(ents, func(one, two Entry) int { return bytes.Compare(one.Key[:], two.Key[:]) })
