--- a/internal/edge/engine/attempt.go
+++ b/internal/edge/engine/attempt.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	// crashProbeTimeout bounds the check whether a target that broke a connection is gone.
+	// crashProbeTimeout bounds the probe that checks whether a target that broke a connection still listens.
 	crashProbeTimeout = 500 * time.Millisecond
-	// reportTimeout bounds the wait for other VMs to take a report of the guard.
-	reportTimeout = time.Second
-	// headerBytes is the size that a request is charged beside its body on a link.
-	headerBytes = 512
+	// guardReportTimeout bounds the wait until other VMs have received a report of the guard.
+	guardReportTimeout = time.Second
+	// headerCharge is the number of bytes charged to a link for a request in addition to its body.
+	headerCharge = 512
 )
 
-// result is the end of one attempt.
+// result is the result of one attempt.
 type result struct {
 	clm *claim
 	ans cardamompass.Response
 	err error
-	// held is set when the answer's body still holds the claim; it is finished when the body is closed.
-	held bool
+	// bodyOpen is set when the claim is finished only when the response body is closed.
+	bodyOpen bool
 }
 
-// attempt sends the request to the claimed target and returns when the claim is finished or the answer's body holds it.
+// attempt sends the request to the claimed target. When it returns, the claim is finished or will be finished by closing the
+// response body.
 func (rqt *request) attempt(ctx context.Context, clm *claim) (rst result) {
 	rst.clm = clm
 	eng := rqt.eng
-	if err := rqt.payRequest(ctx, clm); err != nil {
-		rqt.drop(clm)
+	if err := rqt.chargeRequest(ctx, clm); err != nil {
+		rqt.withdraw(clm)
 		rst.err = &cardamompass.NotRunError{
 			Reason: "no link units before the deadline",
 		}
@@ -54,15 +55,15 @@
 	})
 	switch {
 	case rst.err != nil:
-		rqt.finish(clm, rqt.failed(ctx, clm, rst.err))
+		rqt.finish(clm, rqt.recordFailure(ctx, clm, rst.err))
 	case rqt.sta.svc.Class == cardamompass.ClassLong:
-		rst.ans.Body = &heldBody{
+		rst.ans.Body = &claimBody{
 			ReadCloser: rst.ans.Body,
-			done:       func(whole bool) { rqt.ended(clm, whole) },
+			onClose:    func(complete bool) { rqt.completed(clm, complete) },
 		}
-		rst.held = true
+		rst.bodyOpen = true
 	default:
-		rqt.ended(clm, true)
+		rqt.completed(clm, true)
 	}
 	return rst
 }
@@ -72,10 +73,10 @@
 		strconv.FormatUint(eng.attempts.Add(1), 36)
 }
 
-// ended finishes a claim whose answer was read.
-func (rqt *request) ended(clm *claim, whole bool) {
+// completed finishes a claim whose response body was read or closed.
+func (rqt *request) completed(clm *claim, complete bool) {
 	eng := rqt.eng
-	if !whole {
+	if !complete {
 		eng.cfg.Guard.Ended(rqt.key, clm.target.ID, eng.cfg.Clock.Now())
 		rqt.finish(clm, health.Cancelled)
 		return
@@ -83,12 +84,12 @@
 	rep := eng.cfg.Guard.Succeeded(rqt.key, clm.target.ID, eng.cfg.Clock.Now())
 	rqt.finish(clm, health.Answered)
 	if !rep.Empty() {
-		eng.wtg.Go(func() { eng.report(rep) })
+		eng.wtg.Go(func() { eng.sendReport(rep) })
 	}
 }
 
-// failed tells the guard how an attempt ended and returns its result for the target's state.
-func (rqt *request) failed(ctx context.Context, clm *claim, err error) health.Result {
+// recordFailure reports the end of a failed attempt to the guard and returns the result to record for the target.
+func (rqt *request) recordFailure(ctx context.Context, clm *claim, err error) health.Result {
 	eng := rqt.eng
 	now := eng.cfg.Clock.Now()
 	var nrn *cardamompass.NotRunError
@@ -99,12 +100,12 @@
 		return health.Shed
 	case errors.Is(ctx.Err(), context.Canceled):
 		eng.cfg.Guard.Ended(rqt.key, clm.target.ID, now)
-		if clm.lost.Load() {
+		if clm.hedgeWon.Load() {
 			return health.HedgeLost
 		}
 		return health.Cancelled
 	case errors.As(err, &unk) && unk.Broken:
-		rqt.broken(clm, now)
+		rqt.checkCrash(clm, now)
 		return health.Failed
 	default:
 		eng.cfg.Guard.Ended(rqt.key, clm.target.ID, now)
@@ -112,64 +113,64 @@
 	}
 }
 
-// broken finds out whether a target that broke a connection crashed. If it did, all other entry VMs know before this
+// checkCrash checks whether a target that broke a connection has crashed. If it has, the other entry VMs are told before checkCrash
 // returns, and so before the caller can send the request again.
-func (rqt *request) broken(clm *claim, broke time.Time) {
+func (rqt *request) checkCrash(clm *claim, brokenAt time.Time) {
 	eng := rqt.eng
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
 	if eng.cfg.Relay.Probe(ctx, clm.target) != relay.ProbeRefused {
-		eng.cfg.Guard.Ended(rqt.key, clm.target.ID, broke)
+		eng.cfg.Guard.Ended(rqt.key, clm.target.ID, brokenAt)
 		return
 	}
 	eng.cfg.Tracker.MarkDown(clm.target.ID, eng.cfg.Clock.Now())
-	rep := eng.cfg.Guard.Crashed(clm.target.ID, broke, eng.cfg.Clock.Now())
-	eng.cfg.Guard.Ended(rqt.key, clm.target.ID, broke)
+	rep := eng.cfg.Guard.Crashed(clm.target.ID, brokenAt, eng.cfg.Clock.Now())
+	eng.cfg.Guard.Ended(rqt.key, clm.target.ID, brokenAt)
 	if !rep.Empty() {
-		eng.report(rep)
+		eng.sendReport(rep)
 	}
 }
 
-func (eng *Engine) report(rep guard.Report) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+func (eng *Engine) sendReport(rep guard.Report) {
+	ctx, cancel := context.WithTimeout(context.Background(), guardReportTimeout)
 	defer cancel()
 	eng.cfg.Report(ctx, rep)
 }
 
-// payRequest spends link units for the request's bytes on every link that they cross. For a long answer it also spends those that the
-// target can send before the first chunk is paid.
-func (rqt *request) payRequest(ctx context.Context, clm *claim) (err error) {
-	size := len(rqt.req.Body) + headerBytes
-	if err := rqt.payLinks(ctx, size, clm.target.Region, true); err != nil {
+// chargeRequest spends link units for the request on every link between regions that it crosses. For a long response it also spends
+// the units of the bytes that the target can send before the first chunk is paced.
+func (rqt *request) chargeRequest(ctx context.Context, clm *claim) (err error) {
+	size := len(rqt.req.Body) + headerCharge
+	if err := rqt.chargeLinks(ctx, size, clm.target.Region, true); err != nil {
 		return err
 	}
 	if rqt.sta.svc.Class != cardamompass.ClassLong {
 		return nil
 	}
-	return rqt.payLinks(ctx, relay.UnpacedBytes, clm.target.Region, false)
+	return rqt.chargeLinks(ctx, relay.UnpacedBytes, clm.target.Region, false)
 }
 
-// pace returns the function that spends link units for an answer, nil if the answer crosses no link.
+// pace returns the function that spends link units for a response, nil if the response crosses no link.
 func (rqt *request) pace(reg cardamompass.Region) relay.Pace {
 	self := rqt.eng.cfg.Self.Region
 	if reg == self && rqt.req.CallerRegion == self {
 		return nil
 	}
 	return func(ctx context.Context, bytes int) error {
-		return rqt.payLinks(ctx, bytes, reg, false)
+		return rqt.chargeLinks(ctx, bytes, reg, false)
 	}
 }
 
-// payLinks spends units of the links between the caller's region, this VM's and the target's, away from the caller for
-// requests and towards it for answers.
-func (rqt *request) payLinks(ctx context.Context, size int, reg cardamompass.Region, away bool) (err error) {
+// chargeLinks spends units of the links between the regions of the caller, this VM and the target: in the direction of the target
+// if toTarget is set, else in the direction of the caller.
+func (rqt *request) chargeLinks(ctx context.Context, size int, reg cardamompass.Region, toTarget bool) (err error) {
 	path := []cardamompass.Region{rqt.req.CallerRegion, rqt.eng.cfg.Self.Region, reg}
 	for num := range len(path) - 1 {
 		from, to := path[num], path[num+1]
 		if from == to {
 			continue
 		}
-		if !away {
+		if !toTarget {
 			from, to = to, from
 		}
 		rte := rqt.eng.cfg.Pool.Rate(share.LinkName(from, to))
@@ -180,26 +181,26 @@
 	return nil
 }
 
-// heldBody finishes a claim when the answer's body was read or closed.
-type heldBody struct {
+// claimBody is a response body that finishes the claim when it is closed.
+type claimBody struct {
 	io.ReadCloser
-	once  sync.Once
-	whole bool
-	done  func(whole bool)
+	once     sync.Once
+	complete bool
+	onClose  func(complete bool)
 }
 
 // Read implements io.Reader.
-func (hbd *heldBody) Read(buf []byte) (num int, err error) {
-	num, err = hbd.ReadCloser.Read(buf)
+func (clb *claimBody) Read(buf []byte) (num int, err error) {
+	num, err = clb.ReadCloser.Read(buf)
 	if err == io.EOF {
-		hbd.whole = true
+		clb.complete = true
 	}
 	return num, err
 }
 
 // Close implements io.Closer.
-func (hbd *heldBody) Close() (err error) {
-	err = hbd.ReadCloser.Close()
-	hbd.once.Do(func() { hbd.done(hbd.whole) })
+func (clb *claimBody) Close() (err error) {
+	err = clb.ReadCloser.Close()
+	clb.once.Do(func() { clb.onClose(clb.complete) })
 	return err
 }
--- a/internal/edge/engine/claim.go
+++ b/internal/edge/engine/claim.go
@@ -11,51 +11,52 @@
 	"cardamompass/internal/steer/route"
 )
 
-// claim is what one attempt holds: a target, a slot of the region's share and its place in the target's count.
+// claim holds the resources of one attempt: a target, a slot of the region's share and the attempt's entry in the target's request
+// count.
 type claim struct {
 	target  cardamompass.Target
 	reason  string
 	token   health.Token
 	release func()
-	// unreserve ends the reservation of the target of a suspect.
-	unreserve func()
-	suspect   bool
-	hedge     bool
-	began     time.Time
-	// lost is set when the attempt is cancelled because its hedge was answered first.
-	lost atomic.Bool
+	// endReservation ends the reservation of the target, set for suspect requests only.
+	endReservation func()
+	suspect        bool
+	hedge          bool
+	began          time.Time
+	// hedgeWon is set when the attempt is cancelled because its hedge was answered first.
+	hedgeWon atomic.Bool
 }
 
-// request is one request on its way.
+// request is one request in progress.
 type request struct {
 	eng *Engine
 	pln *plan
 	sta *service
 	req cardamompass.Request
 	key guard.Key
-	// tried are the targets that carried an attempt.
+	// tried are the targets to which attempts were sent.
 	tried []cardamompass.TargetID
-	// refused is the guard's refusal, if there is one.
-	refused guard.Verdict
-	// mayHaveRun is set once an attempt failed after it may have run.
+	// guardRefusal is the guard's verdict if it refused the request.
+	guardRefusal guard.Verdict
+	// mayHaveRun is set once an attempt has failed that may have run.
 	mayHaveRun bool
 	rejected   route.Decision
 }
 
-// tryClaim claims a target for the next attempt, one that was not tried yet if there is one. It does not block.
+// tryClaim claims a target for the next attempt, preferably one that was not tried yet. It does not block.
 func (rqt *request) tryClaim() (clm *claim, ok bool) {
-	if clm, ok = rqt.claimBut(rqt.tried); ok || len(rqt.tried) == 0 || rqt.refused.Action == guard.Refuse {
+	if clm, ok = rqt.claimExcluding(rqt.tried); ok || len(rqt.tried) == 0 || rqt.guardRefusal.Action == guard.Refuse {
 		return clm, ok
 	}
-	return rqt.claimBut(nil)
+	return rqt.claimExcluding(nil)
 }
 
-// claimBut claims a target that is not excluded, in the caller's region first.
-func (rqt *request) claimBut(exclude []cardamompass.TargetID) (clm *claim, ok bool) {
+// claimExcluding claims a target that is not excluded. It considers the caller's region first, then the fallback regions.
+func (rqt *request) claimExcluding(exclude []cardamompass.TargetID) (clm *claim, ok bool) {
 	eng, sta := rqt.eng, rqt.sta
 	now := eng.cfg.Clock.Now()
-	scr := sta.spares.Get().(*scratch)
-	defer sta.spares.Put(scr)
+	scr := sta.scratchPool.Get().(*scratch)
+	defer sta.scratchPool.Put(scr)
 	scr.snp = eng.cfg.Tracker.Snapshot(rqt.req.Service, now, scr.snp)
 	scr.snp.VMRegion = eng.cfg.Self.Region
 	scr.snp.Regions = append(scr.snp.Regions[:0], rqt.regionState(rqt.req.CallerRegion, now))
@@ -64,29 +65,29 @@
 		Exclude:      exclude,
 	}
 	scr.dec = route.Decide(&scr.snp, &ask, scr.dec)
-	if clm, ok = rqt.take(&scr.dec, now); ok {
+	if clm, ok = rqt.claimFirst(&scr.dec, now); ok {
 		return clm, true
 	}
-	if rqt.refused.Action == guard.Refuse {
+	if rqt.guardRefusal.Action == guard.Refuse {
 		return nil, false
 	}
-	// The wish for near regions is recorded only now, so that local requests neither borrow their units nor start their ramps.
-	rqt.need(&scr.dec)
-	ask.FallbackRegions = rqt.pln.near(rqt.req.CallerRegion)
+	// Fallback regions are considered only now, so that requests served locally neither borrow their units nor start their ramps.
+	rqt.recordUnmet(&scr.dec)
+	ask.FallbackRegions = rqt.pln.fallbackRegions(rqt.req.CallerRegion)
 	for _, reg := range ask.FallbackRegions {
 		scr.snp.Regions = append(scr.snp.Regions, rqt.regionState(reg, now))
 	}
 	scr.dec = route.Decide(&scr.snp, &ask, scr.dec)
-	if clm, ok = rqt.take(&scr.dec, now); ok {
+	if clm, ok = rqt.claimFirst(&scr.dec, now); ok {
 		return clm, true
 	}
-	rqt.need(&scr.dec)
+	rqt.recordUnmet(&scr.dec)
 	rqt.rejected.Regions = append(rqt.rejected.Regions[:0], scr.dec.Regions...)
 	rqt.rejected.Rejections = append(rqt.rejected.Rejections[:0], scr.dec.Rejections...)
 	return nil, false
 }
 
-// regionState returns what this VM may use of a region.
+// regionState returns the capacity of a region that this VM may use.
 func (rqt *request) regionState(reg cardamompass.Region, now time.Time) (rst route.RegionState) {
 	pol := rqt.eng.cfg.Pool
 	_, usable := pol.Slots(share.SlotsName(rqt.req.Service, reg)).Available()
@@ -101,13 +102,13 @@
 	}
 	if reg != rqt.req.CallerRegion {
 		rst.ShiftUnits = pol.Rate(share.ShiftName(rqt.req.Service, rqt.req.CallerRegion, reg)).Available()
-		rst.ColdSince = rqt.sta.shifts.wanted(reg, now)
+		rst.ColdSince = rqt.sta.shifts.recordShift(reg, now)
 	}
 	return rst
 }
 
-// need records the lack of slots in the regions that were rejected for it.
-func (rqt *request) need(dec *route.Decision) {
+// recordUnmet records unmet demand for slots in the regions that were rejected for lack of them.
+func (rqt *request) recordUnmet(dec *route.Decision) {
 	for _, vdt := range dec.Regions {
 		if vdt.Reason == route.ReasonNoShare || vdt.Reason == route.ReasonNearestAvailable {
 			rqt.eng.cfg.Pool.Slots(share.SlotsName(rqt.req.Service, vdt.Region)).RecordUnmet()
@@ -115,8 +116,8 @@
 	}
 }
 
-// take claims the first candidate that can be had.
-func (rqt *request) take(dec *route.Decision, now time.Time) (clm *claim, ok bool) {
+// claimFirst claims the first candidate whose resources are available.
+func (rqt *request) claimFirst(dec *route.Decision, now time.Time) (clm *claim, ok bool) {
 	for num := range dec.Candidates {
 		cnd := &dec.Candidates[num]
 		tgt, ok := rqt.pln.target(cnd.Target)
@@ -127,26 +128,26 @@
 		if !ok {
 			return nil, false
 		}
-		clm, ok = rqt.takeCandidate(cnd, tgt, now)
+		clm, ok = rqt.claimCandidate(cnd, tgt, now)
 		if ok {
 			clm.release = release
 			return clm, true
 		}
 		release()
-		if rqt.refused.Action == guard.Refuse {
+		if rqt.guardRefusal.Action == guard.Refuse {
 			return nil, false
 		}
 	}
 	return nil, false
 }
 
-// takeCandidate claims all but the slot.
-func (rqt *request) takeCandidate(cnd *route.Candidate, tgt cardamompass.Target, now time.Time) (clm *claim, ok bool) {
+// claimCandidate claims all resources of a candidate except the slot.
+func (rqt *request) claimCandidate(cnd *route.Candidate, tgt cardamompass.Target, now time.Time) (clm *claim, ok bool) {
 	cfg := &rqt.eng.cfg
 	ver := cfg.Guard.Admit(rqt.key, cnd.Target, now)
 	if ver.Action != guard.Run {
 		if ver.Action == guard.Refuse {
-			rqt.refused = ver
+			rqt.guardRefusal = ver
 		}
 		return nil, false
 	}
@@ -172,18 +173,18 @@
 	}, true
 }
 
-// drop gives a claim back of which no attempt was made.
-func (rqt *request) drop(clm *claim) {
+// withdraw releases a claim for which no attempt was made.
+func (rqt *request) withdraw(clm *claim) {
 	rqt.eng.cfg.Guard.Withdrawn(rqt.key, clm.target.ID)
 	rqt.finish(clm, health.Cancelled)
 }
 
-// finish ends the target's count and gives the slot back.
+// finish ends the claim: it records the result for the target and releases the slot.
 func (rqt *request) finish(clm *claim, res health.Result) {
 	rqt.eng.cfg.Tracker.Done(clm.token, rqt.eng.cfg.Clock.Now(), res)
 	clm.release()
-	if clm.unreserve != nil {
-		clm.unreserve()
+	if clm.endReservation != nil {
+		clm.endReservation()
 	}
 	rqt.sta.queue.SlotReleased()
 }
--- a/internal/edge/engine/engine.go
+++ b/internal/edge/engine/engine.go
@@ -1,12 +1,12 @@
-// Package engine runs requests on targets: it joins the decisions of the steer packages, this VM's shares of the caps and
-// the relay.
+// Package engine runs requests on targets. It combines the decisions of the steer packages, this VM's shares of the caps and the
+// relay.
 //
-// A request waits in its service's queue until a claim succeeds: a target chosen by route.Decide, a slot of the
-// region's share, units of the shift when it crosses regions, and the guard's admission. Failed attempts are repeated on
-// other targets within the retry budget, non-idempotent ones only when they certainly did not run. Late attempts of short
-// idempotent requests are hedged within the hedge budget.
+// A request waits in the queue of its service until a claim succeeds: a target chosen by route.Decide, a slot of the region's
+// share, units of the shift when it crosses regions, and the guard's admission. Failed attempts are retried on other targets within
+// the retry budget, non-idempotent ones only when they certainly did not run. Slow attempts of short idempotent requests are hedged
+// within the hedge budget.
 //
-// An error is a NotRunError only if no attempt can have run, else an UnknownOutcomeError; or an InvalidError.
+// An error is a NotRunError only if no attempt can have run. Other errors are UnknownOutcomeError and InvalidError.
 package engine
 
 import (
@@ -33,11 +33,11 @@
 	"cardamompass/internal/steer/route"
 )
 
-// retryQueueInterval is the time between two tries of all queues for what no release announces: loans that arrive, units of
-// links, ramps that grow.
+// retryQueueInterval is the interval at which waiting requests try again to claim a target. It covers capacity that becomes
+// available without a released slot: borrowed units, link units and growing ramps.
 const retryQueueInterval = 5 * time.Millisecond
 
-// defaultQueueLength bounds the queue of a service that states no bound.
+// defaultQueueLength bounds the queue of a service for which neither the catalogue nor the configuration states a bound.
 const defaultQueueLength = 256
 
 // Config configures an Engine.
@@ -50,10 +50,10 @@
 	Tracker *health.Tracker
 	Guard   *guard.Guard
 	Pool    *share.Pool
-	// Report tells all other entry VMs what the guard found, and returns when they have answered or its own timeout ends.
+	// Report sends a report of the guard to all other entry VMs. It returns when they have responded or after its own timeout.
 	Report func(ctx context.Context, rep guard.Report)
-	// Reserve asks for a target for a suspect of the guard, so that suspects of other entry VMs do not run there for the time left. Nil
-	// grants every target.
+	// Reserve reserves a target for a suspect request for the time left, so that suspect requests of other entry VMs do not run
+	// there. If nil, every reservation succeeds.
 	Reserve func(ctx context.Context, tid cardamompass.TargetID, left time.Duration) (release func(), ok bool)
 	// Recent keeps the decisions for the state dump.
 	Recent *dump.DecisionLog
@@ -62,45 +62,45 @@
 	RetryPercent int
 	// QueueLength bounds the queue of a service for which the catalogue states no bound; 0 means 256.
 	QueueLength int
-	// Members lists the entry VMs, among which the connections of targets are divided.
+	// Members lists the entry VMs among which the connections to targets are divided.
 	Members cardamompass.Membership
-	// Naive replaces the steering by its baseline, round robin without shares, hedges or guard, for measurements.
+	// Naive replaces the steering by a baseline for measurements: round robin without shares, hedges or guard.
 	Naive bool
 }
 
 // Engine runs requests. It is safe for concurrent use.
 type Engine struct {
-	cfg      Config
-	mtx      sync.Mutex // serializes SetCatalogue
-	plan     atomic.Pointer[plan]
-	attempts atomic.Uint64
-	wtg      sync.WaitGroup
-	naive    naiveState
-	waiting  chan struct{}
-	queues   *queue.Set
-	// divided are the entry VMs among which connections were divided last, guarded by mtx.
-	divided []cardamompass.VMID
+	cfg            Config
+	mtx            sync.Mutex // serializes SetCatalogue and MembersChanged
+	plan           atomic.Pointer[plan]
+	attempts       atomic.Uint64
+	wtg            sync.WaitGroup
+	naive          naiveState
+	requestWaiting chan struct{}
+	queues         *queue.Set
+	// subsetVMs are the entry VMs among which connections were last divided, guarded by mtx.
+	subsetVMs []cardamompass.VMID
 }
 
-// service is the state of one service. It outlives changes of the catalogue.
+// service is the state of one service. It is kept when the catalogue changes.
 type service struct {
-	svc     cardamompass.Service
-	queue   *queue.Queue
-	retry   *budget.Budget
-	hedge   *budget.Budget
-	shifts  *shiftTimes
-	latency tally.Histogram
-	scope   tally.Scope
-	spares  *sync.Pool // of *scratch
+	svc         cardamompass.Service
+	queue       *queue.Queue
+	retry       *budget.Budget
+	hedge       *budget.Budget
+	shifts      *shiftStarts
+	latency     tally.Histogram
+	scope       tally.Scope
+	scratchPool *sync.Pool // of *scratch
 }
 
-// scratch is memory that decisions reuse.
+// scratch holds buffers that are reused between decisions.
 type scratch struct {
 	snp route.Snapshot
 	dec route.Decision
 }
 
-// New returns an Engine without catalogue: it refuses all requests as not run. The cleanup waits for attempts under way.
+// New returns an Engine without a catalogue, which refuses all requests as not run. The cleanup waits for attempts in progress.
 func New(cfg Config) (eng *Engine, cleanup func()) {
 	if cfg.QueueLength == 0 {
 		cfg.QueueLength = defaultQueueLength
@@ -112,9 +112,9 @@
 	}
 	queues, stopQueues := queue.NewSet(cfg.Clock)
 	eng = &Engine{
-		cfg:     cfg,
-		waiting: make(chan struct{}, 1),
-		queues:  queues,
+		cfg:            cfg,
+		requestWaiting: make(chan struct{}, 1),
+		queues:         queues,
 	}
 	eng.plan.Store(&plan{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -126,7 +126,7 @@
 	}
 }
 
-// SetCatalogue puts a catalogue in force: its targets, its caps and its services. Requests under way go on.
+// SetCatalogue activates a catalogue: its targets, caps and services. Requests in progress continue.
 func (eng *Engine) SetCatalogue(cat *catlg.Catalogue) {
 	eng.mtx.Lock()
 	defer eng.mtx.Unlock()
@@ -136,7 +136,7 @@
 		services: make(map[cardamompass.ServiceName]*service),
 	}
 	services := cat.Services()
-	eng.queues.SetServices(eng.withQueueLength(services))
+	eng.queues.SetServices(eng.withDefaultQueueLength(services))
 	for _, svc := range services {
 		next.services[svc.Name] = eng.service(old[svc.Name], svc)
 	}
@@ -146,8 +146,8 @@
 	eng.plan.Store(next)
 }
 
-// withQueueLength returns the services with the configured length of the queue where the catalogue states none.
-func (eng *Engine) withQueueLength(services []cardamompass.Service) []cardamompass.Service {
+// withDefaultQueueLength returns the services with the configured queue length where the catalogue states none.
+func (eng *Engine) withDefaultQueueLength(services []cardamompass.Service) []cardamompass.Service {
 	services = slices.Clone(services)
 	for num := range services {
 		if services[num].QueueLength == 0 {
@@ -157,13 +157,13 @@
 	return services
 }
 
-// MembersChanged divides the connections of the targets anew, after entry VMs came or went.
+// MembersChanged divides the connections to the targets anew after entry VMs have joined or left.
 func (eng *Engine) MembersChanged() {
 	eng.mtx.Lock()
 	defer eng.mtx.Unlock()
 	old := eng.plan.Load()
-	// Most changes are suspicions and their refutation, which leave the serving VMs the same.
-	if old.cat == nil || slices.Equal(eng.serving(), eng.divided) {
+	// Most changes are suspicions and their refutations, which do not change the set of serving VMs.
+	if old.cat == nil || slices.Equal(eng.serving(), eng.subsetVMs) {
 		return
 	}
 	targets := eng.subset(old.cat)
@@ -182,12 +182,12 @@
 // Targets returns the targets that this VM uses.
 func (eng *Engine) Targets() []cardamompass.Target { return eng.plan.Load().list() }
 
-// subset returns the targets that this VM uses. While a target's connections suffice for all entry VMs that is every target;
-// in a larger fleet each VM gets a part of them.
+// subset returns the targets that this VM uses. These are all targets while their connections suffice for all entry VMs; in a
+// larger fleet each VM uses a subset.
 func (eng *Engine) subset(cat *catlg.Catalogue) (targets map[cardamompass.TargetID]cardamompass.Target) {
 	targets = make(map[cardamompass.TargetID]cardamompass.Target)
 	vms := eng.serving()
-	eng.divided = vms
+	eng.subsetVMs = vms
 	for _, svc := range cat.Services() {
 		for _, reg := range cat.Regions() {
 			list := cat.TargetsOf(svc.Name, reg.Name)
@@ -208,7 +208,7 @@
 	return targets
 }
 
-// serving returns the entry VMs that may keep connections to targets, this VM included.
+// serving returns the entry VMs that may keep connections to targets, including this VM.
 func (eng *Engine) serving() (vms []cardamompass.VMID) {
 	vms = []cardamompass.VMID{eng.cfg.Self.ID}
 	for _, mbr := range eng.cfg.Members.Members() {
@@ -221,10 +221,10 @@
 
 func (eng *Engine) service(old *service, svc cardamompass.Service) *service {
 	if old != nil {
-		kept := *old
-		kept.svc = svc
-		kept.queue = eng.queues.Queue(svc.Name, svc.Class)
-		return &kept
+		updated := *old
+		updated.svc = svc
+		updated.queue = eng.queues.Queue(svc.Name, svc.Class)
+		return &updated
 	}
 	now := eng.cfg.Clock.Now()
 	retry, hedge := budget.RetryConfig(), budget.HedgeConfig()
@@ -234,27 +234,28 @@
 		"class":   string(svc.Class),
 	})
 	return &service{
-		svc:     svc,
-		queue:   eng.queues.Queue(svc.Name, svc.Class),
-		retry:   budget.New(retry, now),
-		hedge:   budget.New(hedge, now),
-		shifts:  newShiftTimes(),
-		latency: scope.Histogram("request-latency", metric.LatencyBuckets()),
-		scope:   scope,
-		spares:  &sync.Pool{New: func() any { return &scratch{} }},
+		svc:         svc,
+		queue:       eng.queues.Queue(svc.Name, svc.Class),
+		retry:       budget.New(retry, now),
+		hedge:       budget.New(hedge, now),
+		shifts:      newShiftStarts(),
+		latency:     scope.Histogram("request-latency", metric.LatencyBuckets()),
+		scope:       scope,
+		scratchPool: &sync.Pool{New: func() any { return &scratch{} }},
 	}
 }
 
-// homeWeight is the weight of a VM's part in the caps of its own region, where other VMs have weight 1. Most requests use the
-// VMs of their region; the rest of the units keeps targets within reach when all VMs of their region are gone.
-const homeWeight = 4
+// ownRegionWeight is the weight of a VM in the division of caps of its own region; VMs of other regions have weight 1. Most
+// requests use VMs of their own region. The other VMs keep some units, so that targets stay reachable when all VMs of their region
+// have failed.
+const ownRegionWeight = 4
 
-// Resources returns the caps of a catalogue as resources to be divided, with the weights of a VM in region self.
+// Resources returns the caps of a catalogue as resources to be shared, with the weights for a VM in region self.
 func Resources(cat *catlg.Catalogue, self cardamompass.Region) (list []share.Resource) {
 	const bytesPerKbit = 1000 / 8
 	weight := func(regions ...cardamompass.Region) int64 {
 		if slices.Contains(regions, self) {
-			return homeWeight
+			return ownRegionWeight
 		}
 		return 1
 	}
@@ -295,7 +296,7 @@
 	return list
 }
 
-// Service returns a service of the catalogue in force.
+// Service returns a service of the active catalogue.
 func (eng *Engine) Service(name cardamompass.ServiceName) (svc cardamompass.Service, err error) {
 	pln := eng.plan.Load()
 	if pln.cat == nil {
@@ -313,7 +314,7 @@
 	return sta.svc, nil
 }
 
-// Waiting returns the number of requests that wait in each queue.
+// Waiting returns the number of queued requests of each service.
 func (eng *Engine) Waiting() (waiting map[cardamompass.ServiceName]int) {
 	waiting = make(map[cardamompass.ServiceName]int)
 	for name, sta := range eng.plan.Load().services {
@@ -322,14 +323,14 @@
 	return waiting
 }
 
-// retryQueues tries the queues while any request waits. It sleeps while none does, because an idle timer of this interval
-// takes more than one percent of a core.
+// retryQueues lets queued requests try again at each retryQueueInterval. It blocks while no request waits, because an idle timer of
+// this interval uses more than one percent of a core.
 func (eng *Engine) retryQueues(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-eng.waiting:
+		case <-eng.requestWaiting:
 		}
 		for busy := true; busy; {
 			tmr := eng.cfg.Clock.NewTimer(retryQueueInterval)
@@ -350,10 +351,10 @@
 	}
 }
 
-// wakeRetries tells retryQueues that a request begins to wait.
-func (eng *Engine) wakeRetries() {
+// wakeQueueRetries wakes retryQueues when a request starts to wait.
+func (eng *Engine) wakeQueueRetries() {
 	select {
-	case eng.waiting <- struct{}{}:
+	case eng.requestWaiting <- struct{}{}:
 	default:
 	}
 }
--- a/internal/edge/engine/engine_test.go
+++ b/internal/edge/engine/engine_test.go
@@ -26,24 +26,24 @@
 	"cardamompass/internal/steer/health"
 )
 
-// alone is a membership of one VM.
-type alone struct{ mbr cardamompass.Member }
+// singleMember is a membership with one VM.
+type singleMember struct{ mbr cardamompass.Member }
 
-func (aln alone) Self() cardamompass.Member { return aln.mbr }
+func (aln singleMember) Self() cardamompass.Member { return aln.mbr }
 
-func (aln alone) Members() []cardamompass.Member { return []cardamompass.Member{aln.mbr} }
+func (aln singleMember) Members() []cardamompass.Member { return []cardamompass.Member{aln.mbr} }
 
-// bed is an engine with stand-ins of targets in one region.
-type bed struct {
+// fixture is an engine with simulated targets in one region.
+type fixture struct {
 	eng     *engine.Engine
 	targets []*target.Target
 	recent  *dump.DecisionLog
 	class   cardamompass.Class
 }
 
-func newBed(t *testing.T, class cardamompass.Class, slots ...int) *bed {
+func newFixture(t *testing.T, class cardamompass.Class, slots ...int) *fixture {
 	t.Helper()
-	bed := &bed{
+	fxt := &fixture{
 		recent: dump.NewDecisionLog(16),
 		class:  class,
 	}
@@ -77,7 +77,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(stop)
-		bed.targets = append(bed.targets, tgt)
+		fxt.targets = append(fxt.targets, tgt)
 		tid := cardamompass.TargetID(fmt.Sprint("t", num))
 		put(catlg.NewEntry(catlg.TargetEntry(tid), "o", cardamompass.Target{
 			ID:            tid,
@@ -89,9 +89,9 @@
 			Connections:   100,
 		}))
 	}
-	bed.eng = newEngine(t, bed.recent)
-	bed.eng.SetCatalogue(catlg.NewCatalogue(doc))
-	return bed
+	fxt.eng = newEngine(t, fxt.recent)
+	fxt.eng.SetCatalogue(catlg.NewCatalogue(doc))
+	return fxt
 }
 
 func newEngine(t *testing.T, recent *dump.DecisionLog) *engine.Engine {
@@ -101,7 +101,7 @@
 		Incarnation: 1,
 		Region:      "gulf",
 	}
-	members := alone{
+	members := singleMember{
 		mbr: cardamompass.Member{
 			VM: self,
 		},
@@ -162,9 +162,9 @@
 	return eng
 }
 
-func (bed *bed) execute(t *testing.T, rid string, idempotent bool, timeout time.Duration, header http.Header) (cardamompass.Response, error) {
+func (fxt *fixture) execute(t *testing.T, rid string, idempotent bool, timeout time.Duration, header http.Header) (cardamompass.Response, error) {
 	t.Helper()
-	return bed.eng.Execute(t.Context(), cardamompass.Request{
+	return fxt.eng.Execute(t.Context(), cardamompass.Request{
 		ID:           cardamompass.RequestID(rid),
 		Service:      "svc",
 		Method:       http.MethodPost,
@@ -176,15 +176,15 @@
 	})
 }
 
-func (bed *bed) runs() (total int) {
-	for _, tgt := range bed.targets {
+func (fxt *fixture) runs() (total int) {
+	for _, tgt := range fxt.targets {
 		total += tgt.Runs().Total
 	}
 	return total
 }
 
-// Guards against a second attempt of an operation that may have run, and against an idempotent request that is given up because
-// each target failed it once.
+// Guards against a second attempt of a non-idempotent request that may have run, and against failing an idempotent request because
+// each target failed once.
 func TestAttempts(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -193,58 +193,58 @@
 		want       cardamompass.Outcome
 		runs       int
 	}{
-		{name: "operation with a cut answer", fault: target.FaultTruncated, want: cardamompass.OutcomeUnknown, runs: 1},
-		{name: "operation with another's answer", fault: target.FaultOtherID, want: cardamompass.OutcomeUnknown, runs: 1},
-		{name: "look-up with a cut answer", fault: target.FaultTruncated, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
-		{name: "look-up with another's answer", fault: target.FaultOtherID, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
+		{name: "non-idempotent, truncated response", fault: target.FaultTruncated, want: cardamompass.OutcomeUnknown, runs: 1},
+		{name: "non-idempotent, response to another request", fault: target.FaultOtherID, want: cardamompass.OutcomeUnknown, runs: 1},
+		{name: "idempotent, truncated response", fault: target.FaultTruncated, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
+		{name: "idempotent, response to another request", fault: target.FaultOtherID, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			bed := newBed(t, cardamompass.ClassShort, 2, 2)
-			for _, tgt := range bed.targets {
+			fxt := newFixture(t, cardamompass.ClassShort, 2, 2)
+			for _, tgt := range fxt.targets {
 				tgt.FailAnswers(tst.fault, 1)
 			}
-			ans, err := bed.execute(t, "r", tst.idempotent, 5*time.Second, nil)
+			ans, err := fxt.execute(t, "r", tst.idempotent, 5*time.Second, nil)
 			if got := engine.OutcomeOf(err); got != tst.want {
 				t.Fatalf("outcome %s (%v), want %s", got, err, tst.want)
 			}
 			if err == nil {
 				_ = ans.Body.Close()
 			}
-			if bed.runs() != tst.runs {
-				t.Fatalf("ran %d times, want %d", bed.runs(), tst.runs)
+			if fxt.runs() != tst.runs {
+				t.Fatalf("ran %d times, want %d", fxt.runs(), tst.runs)
 			}
 		})
 	}
 }
 
-// Guards against an operation that is given up, or reported as unknown, because the first target shed it.
+// Guards against failing a non-idempotent request, or reporting its outcome as unknown, because the first target shed it.
 func TestShedOperationRunsElsewhere(t *testing.T) {
-	bed := newBed(t, cardamompass.ClassShort, 1, 1)
-	bed.targets[0].SetDraining(true)
+	fxt := newFixture(t, cardamompass.ClassShort, 1, 1)
+	fxt.targets[0].SetDraining(true)
 	for num := range 4 {
-		ans, err := bed.execute(t, fmt.Sprint("r", num), false, 5*time.Second, nil)
+		ans, err := fxt.execute(t, fmt.Sprint("r", num), false, 5*time.Second, nil)
 		if err != nil {
-			t.Fatalf("operation %d: %v", num, err)
+			t.Fatalf("request %d: %v", num, err)
 		}
 		_ = ans.Body.Close()
 	}
-	if ran := bed.targets[1].Runs().Total; ran != 4 {
-		t.Fatalf("the serving target ran %d operations, want 4", ran)
+	if ran := fxt.targets[1].Runs().Total; ran != 4 {
+		t.Fatalf("the serving target ran %d requests, want 4", ran)
 	}
 }
 
-// Guards against a slot that is given back while a long answer is still being read, and against one that is never given back.
+// Guards against releasing a slot while a long response is still being read, and against a slot that is never released.
 func TestLongAnswerHoldsItsSlot(t *testing.T) {
-	bed := newBed(t, cardamompass.ClassLong, 1)
+	fxt := newFixture(t, cardamompass.ClassLong, 1)
 	header := http.Header{
 		target.HeaderAnswerBytes: {fmt.Sprint(4 << 20)},
 	}
-	first, err := bed.execute(t, "first", true, 9*time.Second, header)
+	first, err := fxt.execute(t, "first", true, 9*time.Second, header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = bed.execute(t, "second", true, 100*time.Millisecond, nil)
+	_, err = fxt.execute(t, "second", true, 100*time.Millisecond, nil)
 	if got := engine.OutcomeOf(err); got != cardamompass.OutcomeNotRun {
 		t.Fatalf("second request while the slot is held: outcome %s (%v), want not-run", got, err)
 	}
@@ -252,23 +252,23 @@
 		t.Fatalf("read %d bytes: %v", size, err)
 	}
 	_ = first.Body.Close()
-	ans, err := bed.execute(t, "third", true, 5*time.Second, nil)
+	ans, err := fxt.execute(t, "third", true, 5*time.Second, nil)
 	if err != nil {
 		t.Fatalf("request after the slot is free: %v", err)
 	}
 	_ = ans.Body.Close()
 }
 
-// Guards against a decision that can't be explained afterwards.
+// Guards against a failed request without a record of its routing decision.
 func TestDecisionIsKept(t *testing.T) {
-	bed := newBed(t, cardamompass.ClassShort, 1)
-	bed.targets[0].SetDraining(true)
-	_, err := bed.execute(t, "r", true, 200*time.Millisecond, nil)
+	fxt := newFixture(t, cardamompass.ClassShort, 1)
+	fxt.targets[0].SetDraining(true)
+	_, err := fxt.execute(t, "r", true, 200*time.Millisecond, nil)
 	var nrn *cardamompass.NotRunError
 	if !errors.As(err, &nrn) {
 		t.Fatalf("got %v, want a NotRunError", err)
 	}
-	found := bed.recent.Find("r")
+	found := fxt.recent.Find("r")
 	if len(found) != 1 || found[0].Outcome != cardamompass.OutcomeNotRun || found[0].Reason == "" {
 		t.Fatalf("decisions %+v", found)
 	}
--- a/internal/edge/engine/execute.go
+++ b/internal/edge/engine/execute.go
@@ -14,21 +14,22 @@
 	"cardamompass/internal/steer/queue"
 )
 
-// maxRejections bounds the rejected targets that are kept for the dump of one decision.
+// maxRejections bounds the rejected targets in the dump of one decision.
 const maxRejections = 16
 
-// maxAttempts bounds the attempts of one request, hedges not counted.
+// maxAttempts bounds the attempts of one request, not counting hedges.
 const maxAttempts = 4
 
-// hedgeTries is the number of tries in each hedge delay for a late attempt that had no room for its hedge. Rooms come and go
-// within a service time, so that a second try only after a whole delay leaves attempts on stragglers for several delays.
-const hedgeTries = 8
+// hedgeTriesPerDelay is the number of hedge tries for each hedge delay when there was no capacity for a hedge. Slots become free
+// and taken again within a service time, and a retry only after a complete delay would leave attempts on stragglers for several
+// delays.
+const hedgeTriesPerDelay = 8
 
-// reservePause is the time after which a suspect asks again for a target that is reserved for another entry VM. The other
-// suspect ends within a service time.
-const reservePause = 10 * time.Millisecond
+// reserveRetryInterval is the time after which a suspect request tries again to reserve a target that another entry VM has
+// reserved. That reservation ends within a service time.
+const reserveRetryInterval = 10 * time.Millisecond
 
-// Execute runs a request on a target and returns its answer, which the caller must close.
+// Execute runs a request on a target and returns the response, which the caller must close.
 func (eng *Engine) Execute(ctx context.Context, req cardamompass.Request) (ans cardamompass.Response, err error) {
 	if _, err := eng.Service(req.Service); err != nil {
 		return ans, err
@@ -71,12 +72,12 @@
 	return ans, nil
 }
 
-// run makes attempts until one is answered or no further one is allowed.
+// run makes attempts until one succeeds or no further one is allowed.
 func (rqt *request) run(ctx context.Context, rec *dump.Decision) (ans cardamompass.Response, err error) {
 	for num := 0; ; num++ {
 		clm, err := rqt.claim(ctx)
 		if err != nil {
-			return ans, rqt.refusal(err)
+			return ans, rqt.finalError(err)
 		}
 		rst := rqt.attemptWithHedge(ctx, clm, rec)
 		if rst.err == nil {
@@ -87,13 +88,13 @@
 			rqt.mayHaveRun = true
 		}
 		if !rqt.mayRetry(ctx, num, nrn != nil) {
-			return ans, rqt.refusal(rst.err)
+			return ans, rqt.finalError(rst.err)
 		}
 		rqt.sta.scope.Counter("retries").Inc(1)
 	}
 }
 
-// mayRetry decides whether another attempt may follow the failed one with number num.
+// mayRetry reports whether another attempt may follow the failed attempt with number num.
 func (rqt *request) mayRetry(ctx context.Context, num int, notRun bool) bool {
 	if num+1 >= maxAttempts || ctx.Err() != nil || !notRun && !rqt.req.Idempotent {
 		return false
@@ -101,8 +102,8 @@
 	return rqt.sta.retry.TakeExtra(rqt.eng.cfg.Clock.Now())
 }
 
-// refusal returns err, or an UnknownOutcomeError if an earlier attempt may have run.
-func (rqt *request) refusal(err error) error {
+// finalError returns err, or an UnknownOutcomeError if err says that the request did not run but an earlier attempt may have run.
+func (rqt *request) finalError(err error) error {
 	var nrn *cardamompass.NotRunError
 	if !errors.As(err, &nrn) || !rqt.mayHaveRun {
 		return err
@@ -113,58 +114,59 @@
 	}
 }
 
-// claim returns a claim for the next attempt. A suspect also has its target reserved among all entry VMs. Errors: NotRunError.
+// claim waits for a claim for the next attempt. For a suspect request it also reserves the target across all entry VMs. Errors:
+// NotRunError.
 func (rqt *request) claim(ctx context.Context) (clm *claim, err error) {
 	for {
-		clm, err = rqt.wait(ctx)
+		clm, err = rqt.waitForClaim(ctx)
 		if err != nil || !clm.suspect || rqt.reserve(ctx, clm) {
 			return clm, err
 		}
 		rqt.tried = rqt.tried[:len(rqt.tried)-1] // no attempt was made
-		rqt.drop(clm)
-		_ = cardamompass.Sleep(ctx, rqt.eng.cfg.Clock, reservePause) // wait notices the end of ctx
+		rqt.withdraw(clm)
+		_ = cardamompass.Sleep(ctx, rqt.eng.cfg.Clock, reserveRetryInterval) // waitForClaim handles the end of ctx
 	}
 }
 
-// reserve reserves the target of a suspect's claim.
+// reserve reserves the target of a suspect request's claim.
 func (rqt *request) reserve(ctx context.Context, clm *claim) (ok bool) {
 	release, ok := rqt.eng.cfg.Reserve(ctx, clm.target.ID, rqt.req.Deadline.Sub(rqt.eng.cfg.Clock.Now()))
 	if ok {
-		clm.unreserve = release
+		clm.endReservation = release
 	}
 	return ok
 }
 
-// wait queues the request until it has a claim. Errors: NotRunError.
-func (rqt *request) wait(ctx context.Context) (clm *claim, err error) {
-	fit := string(rqt.req.CallerRegion)
+// waitForClaim queues the request until it has a claim. Errors: NotRunError.
+func (rqt *request) waitForClaim(ctx context.Context) (clm *claim, err error) {
+	requirement := string(rqt.req.CallerRegion)
 	if len(rqt.tried) > 0 {
-		// A repeated request needs another target than the others of its region.
-		fit = fit + "/" + rqt.key.String()
+		// A retry needs a different target than the other requests of its region.
+		requirement = requirement + "/" + rqt.key.String()
 	}
 	err = rqt.sta.queue.Wait(ctx, queue.Item{
 		Class:       rqt.sta.svc.Class,
 		Deadline:    rqt.req.Deadline,
 		Expected:    rqt.eng.cfg.Tracker.Latency(rqt.req.Service).Usual,
-		Requirement: fit,
+		Requirement: requirement,
 	}, func() (claimed bool) {
 		clm, claimed = rqt.tryClaim()
-		claimed = claimed || rqt.refused.Action == guard.Refuse
+		claimed = claimed || rqt.guardRefusal.Action == guard.Refuse
 		if !claimed {
-			rqt.eng.wakeRetries()
+			rqt.eng.wakeQueueRetries()
 		}
 		return claimed
 	})
 	switch {
-	case rqt.refused.Action == guard.Refuse:
+	case rqt.guardRefusal.Action == guard.Refuse:
 		return nil, &cardamompass.NotRunError{
-			Reason: rqt.refused.Reason,
+			Reason: rqt.guardRefusal.Reason,
 		}
 	case err != nil:
 		return nil, err
 	case ctx.Err() != nil:
-		// The slot was claimed in the moment in which the caller gave up.
-		rqt.drop(clm)
+		// The caller cancelled the request while the slot was being claimed.
+		rqt.withdraw(clm)
 		return nil, &cardamompass.NotRunError{
 			Reason: queue.ReasonLate,
 		}
@@ -173,12 +175,12 @@
 	return clm, nil
 }
 
-// attemptWithHedge makes one attempt and, when that is late and a hedge is allowed, a second one. The first answer counts and
+// attemptWithHedge makes one attempt and, if that is slow and a hedge is allowed, a second one. The first response is returned and
 // the other attempt is cancelled.
 func (rqt *request) attemptWithHedge(ctx context.Context, clm *claim, rec *dump.Decision) (rst result) {
 	if !rqt.req.Idempotent || rqt.sta.svc.Class != cardamompass.ClassShort || clm.suspect {
 		rst = rqt.attempt(ctx, clm)
-		rqt.note(rec, rst)
+		rqt.noteAttempt(rec, rst)
 		return rst
 	}
 	results := make(chan result, 2)
@@ -196,9 +198,9 @@
 		select {
 		case rst = <-results:
 			running--
-			rqt.note(rec, rst)
+			rqt.noteAttempt(rec, rst)
 			if rst.err == nil || running == 0 {
-				clm.lost.Store(rst.clm.hedge)
+				clm.hedgeWon.Store(rst.clm.hedge)
 				return rst
 			}
 			var nrn *cardamompass.NotRunError
@@ -207,7 +209,7 @@
 			hdg, ok := rqt.tryHedge(clm, delay)
 			if !ok {
 				if running == 1 {
-					tmr = rqt.eng.cfg.Clock.NewTimer(max(budget.MinHedgeDelay, delay/hedgeTries))
+					tmr = rqt.eng.cfg.Clock.NewTimer(max(budget.MinHedgeDelay, delay/hedgeTriesPerDelay))
 				}
 				continue
 			}
@@ -217,7 +219,7 @@
 	}
 }
 
-// tryHedge claims a second target for a late attempt if the budget allows a hedge.
+// tryHedge claims a second target for a slow attempt if the budget allows a hedge.
 func (rqt *request) tryHedge(clm *claim, delay time.Duration) (hdg *claim, ok bool) {
 	now := rqt.eng.cfg.Clock.Now()
 	inp := budget.HedgeInput{
@@ -232,12 +234,12 @@
 	if budget.DecideHedge(inp) != budget.HedgeAllowed {
 		return nil, false
 	}
-	hdg, ok = rqt.claimBut(rqt.tried)
+	hdg, ok = rqt.claimExcluding(rqt.tried)
 	if !ok {
 		return nil, false
 	}
 	if hdg.suspect || rqt.sta.hedge.TryHedge(inp, now) != budget.HedgeAllowed {
-		rqt.drop(hdg)
+		rqt.withdraw(hdg)
 		return nil, false
 	}
 	hdg.hedge = true
@@ -246,8 +248,8 @@
 	return hdg, true
 }
 
-// note adds an attempt to the record of the decision.
-func (rqt *request) note(rec *dump.Decision, rst result) {
+// noteAttempt adds an attempt to the record of the decision.
+func (rqt *request) noteAttempt(rec *dump.Decision, rst result) {
 	att := dump.Attempt{
 		Target:   rst.clm.target.ID,
 		Region:   rst.clm.target.Region,
@@ -262,7 +264,7 @@
 	rec.Attempts = append(rec.Attempts, att)
 }
 
-// record keeps the decision for the dump and counts its outcome.
+// record adds the decision to the dump and updates the metrics.
 func (eng *Engine) record(rqt *request, rec *dump.Decision, err error, took time.Duration) {
 	rec.Duration = took.String()
 	rec.Outcome = OutcomeOf(err)
@@ -288,7 +290,7 @@
 	}).Counter("requests").Inc(1)
 }
 
-// OutcomeOf returns the outcome that an error of Execute stands for, answered for nil.
+// OutcomeOf returns the outcome that corresponds to an error of Execute, OutcomeAnswered for nil.
 func OutcomeOf(err error) cardamompass.Outcome {
 	var nrn *cardamompass.NotRunError
 	var inv *cardamompass.InvalidError
@@ -304,7 +306,7 @@
 	}
 }
 
-// cancelBody ends the request's context when the answer was read.
+// cancelBody is a response body that cancels the request's context when it is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
--- a/internal/edge/engine/naive.go
+++ b/internal/edge/engine/naive.go
@@ -12,13 +12,13 @@
 	"cardamompass/internal/steer/route"
 )
 
-// naiveState is the state of the baseline: the turn of its round robin.
+// naiveState is the round-robin position of the baseline.
 type naiveState struct {
 	turn atomic.Uint64
 }
 
-// runNaive is the baseline that the steering is measured against: round robin over the healthy targets of the caller's
-// region, one retry on any error, no shares, no hedges, no guard.
+// runNaive is the baseline against which the steering is measured: round robin over the healthy targets of the caller's region, one
+// retry of idempotent requests on any error, no shares, no hedges, no guard.
 func (rqt *request) runNaive(ctx context.Context) (ans cardamompass.Response, err error) {
 	for range 2 {
 		ans, err = rqt.attemptNaive(ctx)
--- a/internal/edge/engine/plan.go
+++ b/internal/edge/engine/plan.go
@@ -10,7 +10,7 @@
 	"cardamompass/internal/conf/catlg"
 )
 
-// plan is what follows from the catalogue in force.
+// plan is the state derived from the active catalogue.
 type plan struct {
 	cat      *catlg.Catalogue
 	services map[cardamompass.ServiceName]*service
@@ -18,44 +18,46 @@
 	targets map[cardamompass.TargetID]cardamompass.Target
 }
 
-// near returns the regions that may serve callers of reg, in order of preference, reg itself left out.
-func (pln *plan) near(reg cardamompass.Region) []cardamompass.Region {
+// fallbackRegions returns the other regions that may serve callers of reg, in order of preference.
+func (pln *plan) fallbackRegions(reg cardamompass.Region) []cardamompass.Region {
 	inf, _ := pln.cat.Region(reg)
 	return inf.FallbackRegions
 }
 
-// shiftTimes remembers since when a service's requests shift to a region without a longer pause.
-type shiftTimes struct {
-	mtx  sync.Mutex
-	runs map[cardamompass.Region]shiftRun
+// shiftStarts records for each region since when requests of a service have been shifting to it without a pause longer than
+// shiftIdleTime.
+type shiftStarts struct {
+	mtx     sync.Mutex
+	periods map[cardamompass.Region]shiftPeriod
 }
 
-type shiftRun struct {
+type shiftPeriod struct {
 	since time.Time
 	last  time.Time
 }
 
-// shiftPause is the time after which a region that got no shifted request counts as cold again.
-const shiftPause = time.Minute
+// shiftIdleTime is the time without shifted requests after which a region counts as cold again.
+const shiftIdleTime = time.Minute
 
-func newShiftTimes() *shiftTimes {
-	return &shiftTimes{
-		runs: make(map[cardamompass.Region]shiftRun),
+func newShiftStarts() *shiftStarts {
+	return &shiftStarts{
+		periods: make(map[cardamompass.Region]shiftPeriod),
 	}
 }
 
-// wanted records that a request would shift to reg now and returns since when such requests come. The ramp starts with the
-// first wish, because a quarter of a small share may not admit any request at first.
-func (sht *shiftTimes) wanted(reg cardamompass.Region, now time.Time) (since time.Time) {
+// recordShift records that a request would shift to reg at now and returns since when such requests have been arriving. The ramp
+// starts with the first request that would shift, even if it is not admitted, because a quarter of a small share may not admit any
+// request at first.
+func (sht *shiftStarts) recordShift(reg cardamompass.Region, now time.Time) (since time.Time) {
 	sht.mtx.Lock()
 	defer sht.mtx.Unlock()
-	run, ok := sht.runs[reg]
-	if !ok || now.Sub(run.last) > shiftPause {
-		run.since = now
+	per, ok := sht.periods[reg]
+	if !ok || now.Sub(per.last) > shiftIdleTime {
+		per.since = now
 	}
-	run.last = now
-	sht.runs[reg] = run
-	return run.since
+	per.last = now
+	sht.periods[reg] = per
+	return per.since
 }
 
 // target returns a target that this VM uses.
@@ -64,7 +66,7 @@
 	return tgt, ok
 }
 
-// list returns the targets in use in the order of their ids.
+// list returns the targets that this VM uses, sorted by id.
 func (pln *plan) list() (list []cardamompass.Target) {
 	for _, tid := range slices.Sorted(maps.Keys(pln.targets)) {
 		list = append(list, pln.targets[tid])
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -15,193 +15,194 @@
 	"cardamompass"
 )
 
-// errBound refuses the bytes of an attempt that must not be written on this connection.
-var errBound = errors.New("attempt is settled or bound to another connection")
+// errWriteRejected is returned by the writes of an attempt that must not be sent on this connection.
+var errWriteRejected = errors.New("attempt is settled or bound to another connection")
 
-// ledger counts the bytes of one attempt on the wire. It decides whether the attempt certainly did not run.
-type ledger struct {
-	mu      sync.Mutex
-	con     *conn
-	sealed  bool
-	pending int   // writes under way
-	written int64 // bytes that a connection took
-	peerErr error // first failure that the connection reported while it was open on our side
+// attemptState records what one attempt has written and received on its connection. It decides whether the attempt certainly did
+// not run.
+type attemptState struct {
+	mu          sync.Mutex
+	con         *conn
+	writesEnded bool
+	pending     int   // writes in progress
+	written     int64 // bytes accepted by the connection
+	peerErr     error // first error of the connection that was not caused by closing it on this side
 
-	header   scanner
+	header   headerScanner
 	received int64
-	interim  bool // informational answers came first, so that the length of the header is not known
+	interim  bool // informational responses came first, so the header length is unknown
 }
 
-func newLedger() *ledger { return &ledger{} }
+func newAttemptState() *attemptState { return &attemptState{} }
 
-// trace binds the attempt to the connection that net/http picks for it.
-func (lgr *ledger) trace() *httptrace.ClientTrace {
+// trace returns the trace that binds the attempt to the connection that net/http chooses for it.
+func (ast *attemptState) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(inf httptrace.GotConnInfo) {
 			if con, ok := inf.Conn.(*conn); ok {
-				con.bind(lgr)
+				con.bind(ast)
 			}
 		},
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
-			lgr.mu.Lock()
-			defer lgr.mu.Unlock()
-			lgr.interim = true
+			ast.mu.Lock()
+			defer ast.mu.Unlock()
+			ast.interim = true
 			return nil
 		},
 	}
 }
 
-// take binds the ledger to con. It reports false when the attempt was bound before: a second connection means that
+// bindTo binds the attempt to con. It returns false if the attempt was already bound or has ended: a second connection means that
 // net/http is about to re-send the request.
-func (lgr *ledger) take(con *conn) (ok bool) {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	if lgr.con != nil || lgr.sealed {
+func (ast *attemptState) bindTo(con *conn) (ok bool) {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	if ast.con != nil || ast.writesEnded {
 		return false
 	}
-	lgr.con = con
+	ast.con = con
 	return true
 }
 
-func (lgr *ledger) beginWrite() (err error) {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	if lgr.sealed {
-		return errBound
+func (ast *attemptState) beginWrite() (err error) {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	if ast.writesEnded {
+		return errWriteRejected
 	}
-	lgr.pending++
+	ast.pending++
 	return nil
 }
 
-func (lgr *ledger) endWrite(num int, err error) {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	lgr.pending--
-	lgr.written += int64(num)
-	lgr.noteLocked(err)
+func (ast *attemptState) endWrite(num int, err error) {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	ast.pending--
+	ast.written += int64(num)
+	ast.recordErrorLocked(err)
 }
 
-func (lgr *ledger) endRead(got []byte, err error) {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	lgr.received += int64(len(got))
-	lgr.header.scan(got)
-	lgr.noteLocked(err)
+func (ast *attemptState) endRead(got []byte, err error) {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	ast.received += int64(len(got))
+	ast.header.scan(got)
+	ast.recordErrorLocked(err)
 }
 
-func (lgr *ledger) note(err error) {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	lgr.noteLocked(err)
+func (ast *attemptState) recordError(err error) {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	ast.recordErrorLocked(err)
 }
 
-func (lgr *ledger) noteLocked(err error) {
-	if err != nil && lgr.peerErr == nil && !errors.Is(err, net.ErrClosed) {
-		lgr.peerErr = err
+func (ast *attemptState) recordErrorLocked(err error) {
+	if err != nil && ast.peerErr == nil && !errors.Is(err, net.ErrClosed) {
+		ast.peerErr = err
 	}
 }
 
-// seal forbids all later writes of the attempt and reports whether no byte of it was written.
-func (lgr *ledger) seal() (unsent bool) {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	lgr.sealed = true
-	return lgr.written == 0 && lgr.pending == 0
+// endWrites forbids further writes of the attempt and reports whether no byte of it was written.
+func (ast *attemptState) endWrites() (unsent bool) {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	ast.writesEnded = true
+	return ast.written == 0 && ast.pending == 0
 }
 
-// broken reports whether the connection ended or failed from outside.
-func (lgr *ledger) broken() bool {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	return lgr.peerErr != nil
+// broken reports whether the connection was closed by the peer or failed.
+func (ast *attemptState) broken() bool {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	return ast.peerErr != nil
 }
 
-// surplus reports whether bytes arrived beyond an answer whose body has the given length.
-func (lgr *ledger) surplus(bodyBytes int64) bool {
-	lgr.mu.Lock()
-	defer lgr.mu.Unlock()
-	return lgr.header.done && !lgr.interim && lgr.received > lgr.header.bytes+bodyBytes
+// hasTrailingBytes reports whether bytes arrived after a response whose body has the given length.
+func (ast *attemptState) hasTrailingBytes(bodyBytes int64) bool {
+	ast.mu.Lock()
+	defer ast.mu.Unlock()
+	return ast.header.done && !ast.interim && ast.received > ast.header.bytes+bodyBytes
 }
 
-// drop closes the attempt's connection, so that nothing that follows on it can be taken for another answer.
-func (lgr *ledger) drop() {
-	lgr.mu.Lock()
-	con := lgr.con
-	lgr.mu.Unlock()
+// closeConn closes the attempt's connection, so that bytes that follow on it are not taken for another response.
+func (ast *attemptState) closeConn() {
+	ast.mu.Lock()
+	con := ast.con
+	ast.mu.Unlock()
 	if con != nil {
-		con.Close() //nolint:errcheck // the connection is given up
+		con.Close() //nolint:errcheck // the connection is no longer used
 	}
 }
 
-// failure turns an error of the transport into what is certain about the attempt.
-func (lgr *ledger) failure(ctx context.Context, target cardamompass.TargetID, cause error) (err error) {
+// failure converts an error of the transport to the typed error for what is certain about the attempt.
+func (ast *attemptState) failure(ctx context.Context, target cardamompass.TargetID, cause error) (err error) {
 	reason := cause.Error()
 	if ctx.Err() != nil {
 		reason = fmt.Sprintf("%v while waiting for the target", context.Cause(ctx))
 	}
-	if lgr.seal() {
+	if ast.endWrites() {
 		return &cardamompass.NotRunError{
 			Reason: "no byte was sent to the target: " + reason,
 		}
 	}
-	lgr.drop()
+	ast.closeConn()
 	return &cardamompass.UnknownOutcomeError{
 		Reason: "no whole answer of the target: " + reason,
 		Target: target,
-		Broken: ctx.Err() == nil && lgr.broken(),
+		Broken: ctx.Err() == nil && ast.broken(),
 	}
 }
 
-// bad gives up an answer that is not the attempt's own or not whole.
-func (lgr *ledger) bad(target cardamompass.TargetID, reason string) (err error) {
-	lgr.seal()
-	lgr.drop()
+// rejectResponse drops a response that is incomplete or belongs to another attempt.
+func (ast *attemptState) rejectResponse(target cardamompass.TargetID, reason string) (err error) {
+	ast.endWrites()
+	ast.closeConn()
 	return &cardamompass.UnknownOutcomeError{
 		Reason: "answer dropped: " + reason,
 		Target: target,
 	}
 }
 
-// conn is a connection to a target that counts for the attempt it is bound to.
+// conn is a connection to a target that reports its reads and writes to the attempt it is bound to.
 type conn struct {
 	net.Conn
 	closed func()
 	once   sync.Once
 
-	mu      sync.Mutex
-	lgr     *ledger
-	refused bool
-	failure error // failure seen while no attempt was bound, or by an earlier one
+	mu       sync.Mutex
+	ast      *attemptState
+	rejected bool
+	failure  error // last read error, kept for the attempt that is bound next
 }
 
-func (con *conn) bind(lgr *ledger) {
-	ok := lgr.take(con)
+func (con *conn) bind(ast *attemptState) {
+	ok := ast.bindTo(con)
 	con.mu.Lock()
 	defer con.mu.Unlock()
-	con.refused = !ok
+	con.rejected = !ok
 	if ok {
-		con.lgr = lgr
-		lgr.note(con.failure)
+		con.ast = ast
+		ast.recordError(con.failure)
 	}
 }
 
-func (con *conn) bound() (lgr *ledger, refused bool) {
+func (con *conn) bound() (ast *attemptState, refused bool) {
 	con.mu.Lock()
 	defer con.mu.Unlock()
-	return con.lgr, con.refused
+	return con.ast, con.rejected
 }
 
-// Write implements net.Conn. It fails without writing for an attempt that is sealed or bound elsewhere.
+// Write implements net.Conn. It fails without writing if the attempt has ended or is bound to another connection.
 func (con *conn) Write(buf []byte) (num int, err error) {
-	lgr, refused := con.bound()
-	if refused || lgr == nil {
-		return 0, errBound
+	ast, refused := con.bound()
+	if refused || ast == nil {
+		return 0, errWriteRejected
 	}
-	if err = lgr.beginWrite(); err != nil {
+	if err = ast.beginWrite(); err != nil {
 		return 0, err
 	}
 	num, err = con.Conn.Write(buf)
-	lgr.endWrite(num, err)
+	ast.endWrite(num, err)
 	return num, err //nolint:wrapcheck // net/http compares errors of connections
 }
 
@@ -213,13 +214,13 @@
 	if err != nil {
 		con.failure = err
 	}
-	if con.lgr != nil {
-		con.lgr.endRead(buf[:num], err)
+	if con.ast != nil {
+		con.ast.endRead(buf[:num], err)
 	}
 	return num, err
 }
 
-// ReadFrom implements io.ReaderFrom through Write, so that no byte goes around the count.
+// ReadFrom implements io.ReaderFrom by calling Write, so that every byte is counted.
 func (con *conn) ReadFrom(src io.Reader) (num int64, err error) {
 	return io.Copy(struct{ io.Writer }{con}, src)
 }
@@ -230,8 +231,8 @@
 	return con.Conn.Close()
 }
 
-// scanner finds the end of the header in the bytes of one answer.
-type scanner struct {
+// headerScanner finds the end of the header in the bytes of one response.
+type headerScanner struct {
 	done  bool
 	bytes int64 // length of the header with its empty line, once done
 	tail  []byte
@@ -239,7 +240,7 @@
 
 var headerEnd = []byte("\r\n\r\n")
 
-func (scn *scanner) scan(got []byte) {
+func (scn *headerScanner) scan(got []byte) {
 	if scn.done || len(got) == 0 {
 		return
 	}
--- a/internal/edge/relay/header.go
+++ b/internal/edge/relay/header.go
@@ -14,9 +14,10 @@
 	"cardamompass"
 )
 
-const ownPrefix = "Cardamompass-"
+// headerPrefix is the prefix of the headers of this system.
+const headerPrefix = "Cardamompass-"
 
-// hopByHop are the headers that concern one connection only. Expect is among them because the relay holds the whole
+// hopByHop are the headers that apply to a single connection. Expect is among them because the relay has buffered the complete
 // request body before it sends the header.
 var hopByHop = []string{
 	"Connection",
@@ -31,8 +32,8 @@
 	"Upgrade",
 }
 
-// strip removes from hdr the headers of one connection and those of this system.
-func strip(hdr http.Header) {
+// stripHeaders removes the hop-by-hop headers and those of this system from hdr.
+func stripHeaders(hdr http.Header) {
 	for _, line := range hdr["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			hdr.Del(textproto.TrimString(name))
@@ -42,13 +43,13 @@
 		delete(hdr, name)
 	}
 	for name := range hdr {
-		if strings.HasPrefix(name, ownPrefix) {
+		if strings.HasPrefix(name, headerPrefix) {
 			delete(hdr, name)
 		}
 	}
 }
 
-// requestHeader returns the header that goes to the target. left is the time left for the answer, 0 for no limit.
+// requestHeader returns the header for the target. left is the remaining time, 0 for no limit.
 func requestHeader(atm Attempt, left time.Duration, maxBytes int) (hdr http.Header, err error) {
 	hdr = make(http.Header, len(atm.Request.Header)+3)
 	size := 0
@@ -64,9 +65,9 @@
 			Reason: "has " + strconv.Itoa(size) + " bytes, at most " + strconv.Itoa(maxBytes) + " are allowed",
 		}
 	}
-	strip(hdr)
+	stripHeaders(hdr)
 	if _, ok := hdr["User-Agent"]; !ok {
-		hdr["User-Agent"] = []string{""} // else net/http sends its own name
+		hdr["User-Agent"] = []string{""} // keeps net/http from sending its own value
 	}
 	hdr[cardamompass.HeaderRequestID] = []string{atm.AttemptID}
 	if left > 0 {
@@ -75,8 +76,8 @@
 	return hdr, nil
 }
 
-// httpRequest builds the request for the transport. It sets no GetBody, and a body that is not http.NoBody, so that
-// net/http counts a request with content as one that it can't re-send.
+// httpRequest builds the request for the transport. It sets no GetBody, and a body other than http.NoBody, so that net/http does
+// not consider a request with a body replayable.
 func httpRequest(ctx context.Context, atm Attempt, hdr http.Header) (req *http.Request, err error) {
 	path, err := url.PathUnescape(atm.Request.Path)
 	if err != nil || !strings.HasPrefix(path, "/") {
--- a/internal/edge/relay/limits_test.go
+++ b/internal/edge/relay/limits_test.go
@@ -15,7 +15,8 @@
 	"cardamompass/internal/edge/relay"
 )
 
-// Guards against a not-run that is not true, and against one that is withheld although it is certain.
+// Guards against reporting a request as not run when it may have run, and against reporting an unknown outcome when it certainly
+// did not run.
 func TestNotRun(t *testing.T) {
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,8 +28,8 @@
 	}
 	lsn.Close()
 	const shed = "Cardamompass-Shed: true\r\nCardamompass-State: draining\r\nContent-Length: 0\r\n\r\n"
-	shedding, _ := rawTarget(t, reply("HTTP/1.1 503 Busy\r\nCardamompass-Request-Id: {id}\r\n"+shed))
-	foreign, _ := rawTarget(t, reply("HTTP/1.1 503 Busy\r\n"+shed))
+	shedding, _ := rawTarget(t, respondWith("HTTP/1.1 503 Busy\r\nCardamompass-Request-Id: {id}\r\n"+shed))
+	foreign, _ := rawTarget(t, respondWith("HTTP/1.1 503 Busy\r\n"+shed))
 	arrived := make(chan struct{})
 	stalled, _ := rawTarget(t, func(con *net.TCPConn, _ string) bool {
 		close(arrived)
@@ -47,10 +48,10 @@
 		first <- err
 	}()
 	<-arrived
-	bounded := attempt(stalled, "a-1")
-	bounded.Request.Deadline = time.Now().Add(50 * time.Millisecond)
-	over := attempt(shedding, "a-1")
-	over.Request.Deadline = time.Now().Add(-time.Second)
+	waiting := attempt(stalled, "a-1")
+	waiting.Request.Deadline = time.Now().Add(50 * time.Millisecond)
+	expired := attempt(shedding, "a-1")
+	expired.Request.Deadline = time.Now().Add(-time.Second)
 	tests := []struct {
 		name   string
 		atm    relay.Attempt
@@ -58,9 +59,9 @@
 	}{
 		{name: "connection refused", atm: attempt(refusing, "a-1"), notRun: true},
 		{name: "shed by the target", atm: attempt(shedding, "a-1"), notRun: true},
-		{name: "shed in an answer to another request", atm: attempt(foreign, "a-1")},
-		{name: "no room for a connection before the deadline", atm: bounded, notRun: true},
-		{name: "deadline passed before", atm: over, notRun: true},
+		{name: "shed in a response to another request", atm: attempt(foreign, "a-1")},
+		{name: "no free connection before the deadline", atm: waiting, notRun: true},
+		{name: "deadline passed before", atm: expired, notRun: true},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
@@ -72,30 +73,30 @@
 		})
 	}
 	if len(drained) != 2 {
-		t.Errorf("drain signs %v, want one for each answer", drained)
+		t.Errorf("draining reported for %v, want once for each response", drained)
 	}
 	release()
 	var uoe *cardamompass.UnknownOutcomeError
 	if err := <-first; err == nil || errors.As(err, &uoe) && uoe.Broken {
 		t.Errorf("cancelled attempt: %v", err)
 	}
-	if rch := rly.Probe(t.Context(), refusing); rch != relay.ProbeRefused {
-		t.Errorf("probe of a closed port: %v", rch)
+	if res := rly.Probe(t.Context(), refusing); res != relay.ProbeRefused {
+		t.Errorf("probe of a closed port: %v", res)
 	}
-	if rch := rly.Probe(t.Context(), shedding); rch != relay.ProbeAccepted {
-		t.Errorf("probe of an open port: %v", rch)
+	if res := rly.Probe(t.Context(), shedding); res != relay.ProbeAccepted {
+		t.Errorf("probe of an open port: %v", res)
 	}
 }
 
-// Guards against net/http sending a request a second time on another connection when a kept connection breaks, which
-// it does for requests without a body.
+// Guards against net/http sending a request again on another connection when an idle connection breaks, which it does for requests
+// without a body.
 func TestNoResend(t *testing.T) {
 	for _, key := range []string{"Idempotency-Key", "X-Other"} {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
 			t.Run(method+" "+key, func(t *testing.T) {
 				tgt, runs := rawTarget(t, func(con *net.TCPConn, id string) bool {
 					if id == "a-0" {
-						return say(con, id, whole)
+						return respondOwn(con, id, wholeBody)
 					}
 					return false
 				})
@@ -120,9 +121,10 @@
 	}
 }
 
-// Guards against a cut long answer that ends like a whole one, and against a resumption that mixes two contents.
+// Guards against a truncated long response that ends like a complete one, and against a resumption that mixes two versions of the
+// content.
 func TestLongAnswers(t *testing.T) {
-	ranged := func(tag, total string) string {
+	partialResponse := func(tag, total string) string {
 		return "HTTP/1.1 206 Partial\r\nETag: " + tag + "\r\nContent-Range: bytes 2-4/" + total +
 			"\r\nContent-Length: 3\r\nCardamompass-Request-Id: a-1-resume-1\r\n\r\nllo"
 	}
@@ -132,20 +134,20 @@
 		resume string
 		want   string
 	}{
-		{name: "resumed", tag: `"v1"`, resume: ranged(`"v1"`, "5"), want: "hello"},
-		{name: "weak validator", tag: `W/"v1"`, resume: ranged(`W/"v1"`, "5")},
-		{name: "no validator", tag: "", resume: ranged("", "5")},
-		{name: "content changed", tag: `"v1"`, resume: ranged(`"v2"`, "5")},
-		{name: "other length", tag: `"v1"`, resume: ranged(`"v1"`, "6")},
-		{name: "whole content again", tag: `"v1"`, resume: "HTTP/1.1 200 OK\r\nETag: \"v1\"\r\n" +
-			"Cardamompass-Request-Id: a-1-resume-1\r\n" + whole},
-		{name: "always cut", tag: `"v1"`, resume: ""},
+		{name: "resumed", tag: `"v1"`, resume: partialResponse(`"v1"`, "5"), want: "hello"},
+		{name: "weak validator", tag: `W/"v1"`, resume: partialResponse(`W/"v1"`, "5")},
+		{name: "no validator", tag: "", resume: partialResponse("", "5")},
+		{name: "content changed", tag: `"v1"`, resume: partialResponse(`"v2"`, "5")},
+		{name: "other length", tag: `"v1"`, resume: partialResponse(`"v1"`, "6")},
+		{name: "complete content again", tag: `"v1"`, resume: "HTTP/1.1 200 OK\r\nETag: \"v1\"\r\n" +
+			"Cardamompass-Request-Id: a-1-resume-1\r\n" + wholeBody},
+		{name: "always interrupted", tag: `"v1"`, resume: ""},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
 			tgt, runs := rawTarget(t, func(con *net.TCPConn, id string) bool {
 				if id == "a-1" {
-					return cut(con, id, "ETag: "+tst.tag+"\r\nContent-Length: 5\r\n\r\nhe")
+					return respondAndClose(con, id, "ETag: "+tst.tag+"\r\nContent-Length: 5\r\n\r\nhe")
 				}
 				io.WriteString(con, tst.resume)
 				return false
@@ -171,7 +173,7 @@
 	}
 }
 
-// BenchmarkDo compares an attempt with a direct call of http.Client.
+// BenchmarkDo compares Do with a direct call of http.Client.
 func BenchmarkDo(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(wrt http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
--- a/internal/edge/relay/pool.go
+++ b/internal/edge/relay/pool.go
@@ -8,11 +8,11 @@
 	"cardamompass"
 )
 
-// longReadBuffer is the receive buffer of a connection for long answers; the system takes twice that. It is small, because a target
-// can send ahead of Pace what the buffer holds.
+// longReadBuffer is the size of the receive buffer of a connection for long responses; the operating system allocates twice that.
+// It is small because a target can send as much ahead of Pace as the buffer holds.
 const longReadBuffer = 64 << 10
 
-// poolKey separates the connections of each target and class.
+// poolKey identifies the pool of one target address and class.
 type poolKey struct {
 	address string
 	class   cardamompass.Class
@@ -21,21 +21,21 @@
 // pool holds the connections to one target for one class.
 type pool struct {
 	transport *http.Transport
-	bound     int
+	maxConns  int
 }
 
-// pool returns the pool for tgt and cls. A pool whose bound has changed is replaced.
+// pool returns the pool for tgt and cls. A pool whose connection limit has changed is replaced.
 func (rly *Relay) pool(tgt cardamompass.Target, cls cardamompass.Class) (pol *pool, err error) {
 	key := poolKey{
 		address: tgt.Address,
 		class:   cls,
 	}
-	bound := rly.cfg.ShortConnections
+	maxConns := rly.cfg.ShortConnections
 	if cls == cardamompass.ClassLong {
-		bound = rly.cfg.LongConnections
+		maxConns = rly.cfg.LongConnections
 	}
 	if tgt.Connections > 0 {
-		bound = min(bound, tgt.Connections)
+		maxConns = min(maxConns, tgt.Connections)
 	}
 	rly.mu.Lock()
 	defer rly.mu.Unlock()
@@ -45,21 +45,21 @@
 		}
 	}
 	pol, ok := rly.pools[key]
-	if ok && pol.bound == bound {
+	if ok && pol.maxConns == maxConns {
 		return pol, nil
 	}
 	if ok {
 		pol.transport.CloseIdleConnections()
 	}
 	pol = &pool{
-		transport: rly.transport(bound, cls),
-		bound:     bound,
+		transport: rly.transport(maxConns, cls),
+		maxConns:  maxConns,
 	}
 	rly.pools[key] = pol
 	return pol, nil
 }
 
-func (rly *Relay) transport(bound int, cls cardamompass.Class) *http.Transport {
+func (rly *Relay) transport(maxConns int, cls cardamompass.Class) *http.Transport {
 	readBuffer := 0
 	if cls == cardamompass.ClassLong {
 		readBuffer = longReadBuffer
@@ -71,16 +71,16 @@
 			return rly.dial(ctx, network, address, readBuffer)
 		},
 		DisableCompression:     true,
-		MaxConnsPerHost:        bound,
-		MaxIdleConnsPerHost:    bound,
+		MaxConnsPerHost:        maxConns,
+		MaxIdleConnsPerHost:    maxConns,
 		IdleConnTimeout:        rly.cfg.IdleTimeout,
 		MaxResponseHeaderBytes: int64(rly.cfg.MaxHeaderBytes),
 		Protocols:              prt,
 	}
 }
 
-// dial opens a connection. net/http lets a dial go on after the request that started it has ended; it then ends with
-// the relay or at the dial timeout. A readBuffer of 0 leaves the size of the receive buffer to the system.
+// dial opens a connection. net/http continues a dial after the request that started it has ended; such a dial ends when the relay
+// is closed or at the dial timeout. With readBuffer 0 the operating system chooses the size of the receive buffer.
 func (rly *Relay) dial(ctx context.Context, network, address string, readBuffer int) (con net.Conn, err error) {
 	rly.mu.Lock()
 	if err = rly.ctx.Err(); err != nil {
@@ -104,11 +104,11 @@
 			return nil, err
 		}
 	}
-	return rly.adopt(raw), nil
+	return rly.trackConn(raw), nil
 }
 
-// adopt registers a new connection, so that the clean-up function can close it.
-func (rly *Relay) adopt(raw net.Conn) *conn {
+// trackConn registers a new connection, so that the cleanup function can close it.
+func (rly *Relay) trackConn(raw net.Conn) *conn {
 	con := &conn{
 		Conn: raw,
 	}
@@ -119,15 +119,15 @@
 	}
 	rly.conMu.Lock()
 	rly.conns[con] = struct{}{}
-	over := rly.ctx.Err() != nil
+	relayClosed := rly.ctx.Err() != nil
 	rly.conMu.Unlock()
-	if over {
+	if relayClosed {
 		con.Close() //nolint:errcheck // the relay is closed
 	}
 	return con
 }
 
-// RemoveTarget closes the idle connections to a target that left and drops its pools.
+// RemoveTarget closes the idle connections to a target that has been removed and deletes its pools.
 func (rly *Relay) RemoveTarget(tgt cardamompass.Target) {
 	rly.mu.Lock()
 	defer rly.mu.Unlock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// Stats are the figures of a relay for the state dump and the metrics.
+// Stats are the statistics of a relay for the state dump and the metrics.
 type Stats struct {
 	// Pools is the number of pools, one for each target and class.
 	Pools int
@@ -151,7 +151,7 @@
 	Connections int
 }
 
-// Stats returns the current figures.
+// Stats returns the current statistics.
 func (rly *Relay) Stats() (sts Stats) {
 	rly.mu.Lock()
 	sts.Pools = len(rly.pools)
--- a/internal/edge/relay/probe.go
+++ b/internal/edge/relay/probe.go
@@ -9,21 +9,21 @@
 	"cardamompass"
 )
 
-// ProbeResult tells what became of a trial connection to a target.
+// ProbeResult is the result of a probe connection to a target.
 type ProbeResult int
 
 const (
-	// ProbeAccepted means that the target accepted the connection: an earlier break was a cut.
+	// ProbeAccepted means that the target accepted the connection, so an earlier connection broke without a crash.
 	ProbeAccepted ProbeResult = iota
 	// ProbeRefused means that the target's VM refused the connection: no process listens, as after a crash.
 	ProbeRefused
-	// ProbeNoResult means that no answer came before the dial timeout, or that the network failed.
+	// ProbeNoResult means that the dial timed out or the network failed.
 	ProbeNoResult
 )
 
 // String returns the kebab-case name of the reach.
-func (rch ProbeResult) String() string {
-	switch rch {
+func (res ProbeResult) String() string {
+	switch res {
 	case ProbeAccepted:
 		return "open"
 	case ProbeRefused:
@@ -35,9 +35,9 @@
 	}
 }
 
-// Probe opens and closes one new connection to tgt, outside its pools. After an UnknownOutcomeError with Broken set it
-// tells a crash of the target from a cut of one connection.
-func (rly *Relay) Probe(ctx context.Context, tgt cardamompass.Target) (rch ProbeResult) {
+// Probe opens and closes a new connection to tgt, outside the pools. After an UnknownOutcomeError with Broken set it distinguishes
+// a crash of the target from a broken connection.
+func (rly *Relay) Probe(ctx context.Context, tgt cardamompass.Target) (res ProbeResult) {
 	con, err := rly.dial(ctx, "tcp", tgt.Address, 0)
 	switch {
 	case err == nil:
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -1,12 +1,12 @@
-// Package relay carries one attempt of a request to one target and returns the target's whole answer or a typed error.
+// Package relay sends one attempt of a request to one target and returns the target's complete response or a typed error.
 //
-// The error tells what is certain. A cardamompass.NotRunError means that no byte of the attempt was written on a
-// connection, or that the target itself reported that it shed the request. Every other failure is a
-// cardamompass.UnknownOutcomeError. An answer is handed on only if it echoes the attempt's id and its frame is whole.
+// The error states what is certain. A cardamompass.NotRunError means that no byte of the attempt was written on a connection, or
+// that the target itself reported that it shed the request. Every other failure is a cardamompass.UnknownOutcomeError. A response
+// is returned only if it echoes the attempt's id and its framing is complete.
 //
-// Each pair of target and class has a pool of connections of its own, so that long answers never share a pool with
-// short requests. The relay sends each attempt at most once: net/http re-sends some requests on its own, and the
-// connections of this package refuse the bytes of an attempt that was already bound to another connection.
+// Each pair of target and class has its own pool of connections, so that long responses never share a pool with short requests. The
+// relay sends each attempt at most once: net/http re-sends some requests on its own, and the connections of this package refuse the
+// bytes of an attempt that was already bound to another connection.
 package relay
 
 import (
@@ -22,10 +22,10 @@
 )
 
 const (
-	// ChunkBytes is the most that is read from a target between two calls of Pace.
+	// ChunkBytes is the maximum number of bytes read from a target between two calls of Pace.
 	ChunkBytes = 32 << 10
-	// UnpacedBytes is the most of a long answer that a target can send ahead of Pace: a receive buffer of 128 KiB and a
-	// chunk that was read.
+	// UnpacedBytes is the maximum number of bytes of a long response that a target can send ahead of Pace: a receive buffer of 128
+	// KiB and a chunk that was read.
 	UnpacedBytes = 192 << 10
 
 	defaultDialTimeout    = 500 * time.Millisecond
@@ -36,60 +36,61 @@
 	defaultMaxResumptions = 3
 )
 
-// Config configures a Relay. Zero values of the bounds stand for the defaults.
+// Config configures a Relay. Limits that are zero get their defaults.
 type Config struct {
-	// Clock tells the time from which the remaining time of a request is computed. Required.
+	// Clock is used to compute the remaining time of a request. Required.
 	Clock cardamompass.Clock
-	// ShortConnections and LongConnections bound the connections to one target for each class, 64 by default. A
-	// target's own Connections bounds both further.
+	// ShortConnections and LongConnections limit the connections to one target for each class, 64 by default. Target.Connections
+	// lowers both limits.
 	ShortConnections int
 	LongConnections  int
 	// DialTimeout bounds the opening of a connection, 500 ms by default.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that were not used for this long, 30 s by default.
+	// IdleTimeout is the idle time after which a connection is closed, 30 s by default.
 	IdleTimeout time.Duration
-	// MaxHeaderBytes bounds the header of a request and of an answer, 64 KiB by default.
+	// MaxHeaderBytes bounds the header of a request and of a response, 64 KiB by default.
 	MaxHeaderBytes int
-	// MaxShortBytes bounds the body of an answer of class short, 1 MiB by default.
+	// MaxShortBytes bounds the body of a response of class short, 1 MiB by default.
 	MaxShortBytes int64
-	// MaxResumptions bounds how often one long answer is resumed after a cut, 3 by default; negative for never.
+	// MaxResumptions limits how often one long response is resumed after its connection broke, 3 by default; negative disables
+	// resumption.
 	MaxResumptions int
-	// Draining is called when an answer says that its target is leaving. It must not block. Optional.
+	// Draining is called when a response states that its target is draining. It must not block. Optional.
 	Draining func(target cardamompass.TargetID)
 }
 
-// Pace is called with the size of each chunk of an answer before the chunk is handed on. An error ends the answer.
+// Pace is called with the size of each chunk of a response before the chunk is returned. An error ends the response.
 type Pace func(ctx context.Context, bytes int) (err error)
 
-// Attempt is one sending of a request to one target.
+// Attempt is one attempt to send a request to one target.
 type Attempt struct {
-	// Request is what the caller sent. Its Path is the path as it was on the wire.
+	// Request is what the caller sent. Its Path is the escaped path as received.
 	Request cardamompass.Request
-	// Target is where it goes.
+	// Target is the target of the attempt.
 	Target cardamompass.Target
 	// AttemptID is unique to this attempt; the target echoes it.
 	AttemptID string
-	// Class selects the pool of connections, and whether the answer is read whole (short) or streamed (long).
+	// Class selects the connection pool and whether the response is buffered (short) or streamed (long).
 	Class cardamompass.Class
-	// Pace spends the link share for the answer's bytes. Optional.
+	// Pace spends link units for the bytes of the response. Optional.
 	Pace Pace
 }
 
 // Relay sends attempts to targets. It is safe for concurrent use.
 type Relay struct {
 	cfg    Config
-	ctx    context.Context //nolint:containedctx // ends the dials that outlive the requests that started them
+	ctx    context.Context //nolint:containedctx // cancels dials that outlive the requests that started them
 	cancel context.CancelFunc
 	dials  sync.WaitGroup
 
 	mu    sync.Mutex
 	pools map[poolKey]*pool
 
-	conMu sync.Mutex // taken after mu: net/http closes idle connections while mu is held
+	conMu sync.Mutex // locked after mu: net/http closes idle connections while mu is held
 	conns map[*conn]struct{}
 }
 
-// New returns a Relay. Its clean-up function closes all connections; attempts under way fail.
+// New returns a Relay. The cleanup function closes all connections; attempts in progress fail.
 func New(cfg Config) (rly *Relay, cleanup func(), err error) {
 	if cfg.Clock == nil {
 		return nil, nil, &cardamompass.InvalidError{
@@ -109,12 +110,12 @@
 }
 
 func (cfg Config) withDefaults() Config {
-	cfg.ShortConnections = positiveOr(cfg.ShortConnections, defaultConnections)
-	cfg.LongConnections = positiveOr(cfg.LongConnections, defaultConnections)
-	cfg.DialTimeout = positiveOr(cfg.DialTimeout, defaultDialTimeout)
-	cfg.IdleTimeout = positiveOr(cfg.IdleTimeout, defaultIdleTimeout)
-	cfg.MaxHeaderBytes = positiveOr(cfg.MaxHeaderBytes, defaultMaxHeaderBytes)
-	cfg.MaxShortBytes = positiveOr(cfg.MaxShortBytes, defaultMaxShortBytes)
+	cfg.ShortConnections = positiveOrDefault(cfg.ShortConnections, defaultConnections)
+	cfg.LongConnections = positiveOrDefault(cfg.LongConnections, defaultConnections)
+	cfg.DialTimeout = positiveOrDefault(cfg.DialTimeout, defaultDialTimeout)
+	cfg.IdleTimeout = positiveOrDefault(cfg.IdleTimeout, defaultIdleTimeout)
+	cfg.MaxHeaderBytes = positiveOrDefault(cfg.MaxHeaderBytes, defaultMaxHeaderBytes)
+	cfg.MaxShortBytes = positiveOrDefault(cfg.MaxShortBytes, defaultMaxShortBytes)
 	if cfg.MaxResumptions == 0 {
 		cfg.MaxResumptions = defaultMaxResumptions
 	}
@@ -124,20 +125,20 @@
 	return cfg
 }
 
-func positiveOr[T ~int | ~int64](value, otherwise T) T {
+func positiveOrDefault[T ~int | ~int64](value, def T) T {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return def
 }
 
-// Do sends one attempt and returns the target's answer. The receiver must close the answer's body. The body of a long
-// answer stays bound to ctx and to the request's deadline.
+// Do sends one attempt and returns the target's response. The receiver must close the response body. The body of a long response
+// remains bound to ctx and to the request's deadline.
 //
 // Errors: NotRunError, UnknownOutcomeError, and InvalidError for an attempt that can't be sent as it is.
 func (rly *Relay) Do(ctx context.Context, atm Attempt) (ans cardamompass.Response, err error) {
 	defer func() {
-		if err != nil { // the arguments are allocated only then
+		if err != nil { // checked first to allocate the arguments only on error
 			err = errors.Wrapf(err, "attempt %s to target %s", atm.AttemptID, atm.Target.ID)
 		}
 	}()
@@ -150,19 +151,19 @@
 		cancel()
 		return ans, err
 	}
-	rsp, lgr, err := rly.send(ctx, atm, hdr)
+	rsp, ast, err := rly.send(ctx, atm, hdr)
 	if err != nil {
 		cancel()
 		return ans, err
 	}
 	if atm.Class == cardamompass.ClassLong {
-		return rly.stream(ctx, cancel, atm, rsp, lgr), nil
+		return rly.stream(ctx, cancel, atm, rsp, ast), nil
 	}
 	defer cancel()
-	return rly.readShort(ctx, atm, rsp, lgr)
+	return rly.readShort(ctx, atm, rsp, ast)
 }
 
-// withDeadline bounds ctx by deadline and returns the time left until the earlier of both ends.
+// withDeadline bounds ctx by deadline and returns the time left until the earlier of the two deadlines.
 func (rly *Relay) withDeadline(
 	ctx context.Context, deadline time.Time,
 ) (bounded context.Context, cancel context.CancelFunc, left time.Duration, err error) {
@@ -185,31 +186,31 @@
 	return bounded, cancel, left, nil
 }
 
-// send writes the request and returns the answer with its header checked and its body unread.
+// send writes the request and returns the response with its header verified and its body unread.
 func (rly *Relay) send(
 	ctx context.Context, atm Attempt, hdr http.Header,
-) (rsp *http.Response, lgr *ledger, err error) {
+) (rsp *http.Response, ast *attemptState, err error) {
 	pol, err := rly.pool(atm.Target, atm.Class)
 	if err != nil {
 		return nil, nil, err
 	}
-	lgr = newLedger()
-	req, err := httpRequest(httptrace.WithClientTrace(ctx, lgr.trace()), atm, hdr)
+	ast = newAttemptState()
+	req, err := httpRequest(httptrace.WithClientTrace(ctx, ast.trace()), atm, hdr)
 	if err != nil {
 		return nil, nil, err
 	}
 	rsp, err = pol.transport.RoundTrip(req)
 	if err != nil {
-		return nil, nil, lgr.failure(ctx, atm.Target.ID, err)
+		return nil, nil, ast.failure(ctx, atm.Target.ID, err)
 	}
-	err = rly.check(atm, rsp, lgr)
+	err = rly.checkHeader(atm, rsp, ast)
 	if err != nil {
 		return nil, nil, err
 	}
-	return rsp, lgr, nil
+	return rsp, ast, nil
 }
 
-// close ends all connections and waits for the dials under way.
+// close closes all connections and waits for the dials in progress.
 func (rly *Relay) close() {
 	rly.cancel()
 	rly.mu.Lock()
@@ -224,7 +225,7 @@
 	}
 	rly.conMu.Unlock()
 	for _, con := range open {
-		con.Close() //nolint:errcheck // the connection is given up
+		con.Close() //nolint:errcheck // the relay is closing
 	}
 	rly.dials.Wait()
 }
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -20,11 +20,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// script answers one request on a raw connection. It returns false to close the connection.
-type script func(con *net.TCPConn, id string) (more bool)
+// responder responds to one request on a raw connection. It returns false to close the connection.
+type responder func(con *net.TCPConn, id string) (more bool)
 
-// rawTarget serves connections with scr. runs counts the requests whose header arrived.
-func rawTarget(t testing.TB, scr script) (tgt cardamompass.Target, runs *atomic.Int64) {
+// rawTarget serves connections with rsp. runs counts the requests that were received.
+func rawTarget(t testing.TB, rsp responder) (tgt cardamompass.Target, runs *atomic.Int64) {
 	t.Helper()
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 					}
 					io.Copy(io.Discard, req.Body)
 					runs.Add(1)
-					if !scr(con.(*net.TCPConn), req.Header.Get(cardamompass.HeaderRequestID)) {
+					if !rsp(con.(*net.TCPConn), req.Header.Get(cardamompass.HeaderRequestID)) {
 						return
 					}
 				}
@@ -91,29 +91,31 @@
 	}
 }
 
-func say(con *net.TCPConn, id, rest string) bool { return reply(own+rest)(con, id) }
+// respondOwn writes a response that echoes the attempt's id.
+func respondOwn(con *net.TCPConn, id, rest string) bool { return respondWith(ownHeader+rest)(con, id) }
 
-// reply answers each request with text.
-func reply(text string) script {
+// respondWith returns a responder that writes text, with {id} replaced by the attempt's id.
+func respondWith(text string) responder {
 	return func(con *net.TCPConn, id string) bool {
 		_, err := io.WriteString(con, strings.ReplaceAll(text, "{id}", id))
 		return err == nil
 	}
 }
 
-func cut(con *net.TCPConn, id, rest string) bool {
-	say(con, id, rest)
+// respondAndClose is respondOwn for a connection that is then closed.
+func respondAndClose(con *net.TCPConn, id, rest string) bool {
+	respondOwn(con, id, rest)
 	return false
 }
 
-const own = "HTTP/1.1 200 OK\r\nCardamompass-Request-Id: {id}\r\n"
+const ownHeader = "HTTP/1.1 200 OK\r\nCardamompass-Request-Id: {id}\r\n"
 
-const whole = "Content-Length: 5\r\n\r\nhello"
+const wholeBody = "Content-Length: 5\r\n\r\nhello"
 
-// Guards against an answer that is not the attempt's own, or not whole, being handed on, and against an outcome that
-// claims more than is certain.
+// Guards against returning a response that is incomplete or belongs to another attempt, and against an error that claims more than
+// is certain.
 func TestBadAnswers(t *testing.T) {
-	const chunked = own + "Transfer-Encoding: chunked\r\n\r\n"
+	const chunked = ownHeader + "Transfer-Encoding: chunked\r\n\r\n"
 	tests := []struct {
 		name   string
 		reply  string
@@ -121,31 +123,31 @@
 		reset  bool
 		broken bool
 	}{
-		{name: "late answer to an earlier request", reply: strings.Replace(own, "{id}", "a-0", 1) + whole},
-		{name: "crossed answer", reply: strings.Replace(own, "{id}", "{id}x", 1) + whole},
-		{name: "echo missing", reply: "HTTP/1.1 200 OK\r\n" + whole},
-		{name: "echo twice", reply: own + cardamompass.HeaderRequestID + ": {id}\r\n" + whole},
-		{name: "truncated body", reply: own + whole[:len(whole)-1], end: true, broken: true},
-		{name: "truncated header", reply: own + "Content-Le", end: true, broken: true},
-		{name: "end told by the connection only", reply: own + "\r\nhello", end: true},
-		{name: "doubled", reply: own + whole + own + whole},
-		{name: "longer than declared", reply: own + whole + "!"},
-		{name: "two lengths", reply: own + "Content-Length: 4\r\n" + whole},
-		{name: "declared over the bound", reply: own + "Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000)},
+		{name: "late response to an earlier request", reply: strings.Replace(ownHeader, "{id}", "a-0", 1) + wholeBody},
+		{name: "response to another request", reply: strings.Replace(ownHeader, "{id}", "{id}x", 1) + wholeBody},
+		{name: "echo missing", reply: "HTTP/1.1 200 OK\r\n" + wholeBody},
+		{name: "echo twice", reply: ownHeader + cardamompass.HeaderRequestID + ": {id}\r\n" + wholeBody},
+		{name: "truncated body", reply: ownHeader + wholeBody[:len(wholeBody)-1], end: true, broken: true},
+		{name: "truncated header", reply: ownHeader + "Content-Le", end: true, broken: true},
+		{name: "end marked only by the close of the connection", reply: ownHeader + "\r\nhello", end: true},
+		{name: "doubled", reply: ownHeader + wholeBody + ownHeader + wholeBody},
+		{name: "longer than declared", reply: ownHeader + wholeBody + "!"},
+		{name: "two lengths", reply: ownHeader + "Content-Length: 4\r\n" + wholeBody},
+		{name: "declared over the bound", reply: ownHeader + "Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000)},
 		{name: "chunked over the bound", reply: chunked + "7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n"},
 		{name: "broken chunk size", reply: chunked + "zz\r\nhello\r\n0\r\n\r\n"},
 		{name: "chunk longer than its size", reply: chunked + "4\r\nhello\r\n0\r\n\r\n"},
 		{name: "last chunk missing", reply: chunked + "5\r\nhello\r\n", end: true, broken: true},
-		{name: "header flood", reply: own + strings.Repeat("X-Flood: "+strings.Repeat("y", 1000)+"\r\n", 100) + whole},
+		{name: "header flood", reply: ownHeader + strings.Repeat("X-Flood: "+strings.Repeat("y", 1000)+"\r\n", 100) + wholeBody},
 		{name: "switches the protocol", reply: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n" +
 			"Cardamompass-Request-Id: {id}\r\n\r\n"},
-		{name: "no answer, connection closed", end: true, broken: true},
+		{name: "no response, connection closed", end: true, broken: true},
 		{name: "reset after the request bytes", end: true, reset: true, broken: true},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
 			tgt, runs := rawTarget(t, func(con *net.TCPConn, id string) bool {
-				reply(tst.reply)(con, id)
+				respondWith(tst.reply)(con, id)
 				if tst.reset {
 					con.SetLinger(0)
 				}
@@ -157,7 +159,7 @@
 			ans, err := rly.Do(t.Context(), attempt(tgt, "a-1"))
 			var uoe *cardamompass.UnknownOutcomeError
 			if !errors.As(err, &uoe) {
-				t.Fatalf("answer %+v, error %v, want an unknown outcome", ans, err)
+				t.Fatalf("response %+v, error %v, want an unknown outcome", ans, err)
 			}
 			if uoe.Broken != tst.broken {
 				t.Errorf("Broken = %v, want %v: %v", uoe.Broken, tst.broken, err)
@@ -169,21 +171,21 @@
 	}
 }
 
-// Guards against a whole answer being refused, or reaching the caller changed.
+// Guards against rejecting a complete response, and against returning it changed.
 func TestWholeAnswers(t *testing.T) {
 	tests := []struct {
 		name  string
 		first string
 		rest  string
 	}{
-		{name: "declared length", rest: whole},
+		{name: "declared length", rest: wholeBody},
 		{name: "chunked", rest: "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n"},
-		{name: "early hints first", first: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", rest: whole},
-		{name: "hop-by-hop headers", rest: "Connection: X-Hop, keep-alive\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\n" + whole},
+		{name: "early hints first", first: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", rest: wholeBody},
+		{name: "hop-by-hop headers", rest: "Connection: X-Hop, keep-alive\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\n" + wholeBody},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			tgt, _ := rawTarget(t, reply(tst.first+own+"X-End: 1\r\n"+tst.rest))
+			tgt, _ := rawTarget(t, respondWith(tst.first+ownHeader+"X-End: 1\r\n"+tst.rest))
 			rly := newRelay(t, relay.Config{})
 			for idx := range 3 {
 				ans, err := rly.Do(t.Context(), attempt(tgt, fmt.Sprint("a-", idx)))
@@ -192,7 +194,7 @@
 				}
 				body, err := io.ReadAll(ans.Body)
 				if string(body) != "hello" || err != nil || ans.Length != 5 || ans.Status != http.StatusOK {
-					t.Fatalf("body %q, error %v, answer %+v", body, err, ans)
+					t.Fatalf("body %q, error %v, response %+v", body, err, ans)
 				}
 				for name := range ans.Header {
 					if name != "X-End" && name != "Content-Length" {
--- a/internal/edge/relay/answer.go
+++ b/internal/edge/relay/response.go
@@ -11,32 +11,32 @@
 	"cardamompass"
 )
 
-// maxShedBytes bounds the body of a shed answer that is read to keep the connection. A target that sheds is busy, and
-// new connections would add to its load.
+// maxShedBytes bounds the body of a shed response that is read to keep the connection. A target that sheds is busy, and new
+// connections would add to its load.
 const maxShedBytes = 4 << 10
 
-// check verifies the header of an answer. On error it has given up the answer.
-func (rly *Relay) check(atm Attempt, rsp *http.Response, lgr *ledger) (err error) {
+// checkHeader verifies the header of a response. On error it has closed the response body.
+func (rly *Relay) checkHeader(atm Attempt, rsp *http.Response, ast *attemptState) (err error) {
 	if rsp.Header.Get(cardamompass.HeaderState) == "draining" {
 		rly.cfg.Draining(atm.Target.ID)
 	}
 	defer func() {
 		if err != nil {
-			rsp.Body.Close() //nolint:errcheck // the answer is given up
+			rsp.Body.Close() //nolint:errcheck // the response is dropped
 		}
 	}()
 	echo := rsp.Header[cardamompass.HeaderRequestID]
 	switch {
 	case len(echo) == 0:
-		return lgr.bad(atm.Target.ID, "it has no request id")
+		return ast.rejectResponse(atm.Target.ID, "it has no request id")
 	case len(echo) > 1 || echo[0] != atm.AttemptID:
-		return lgr.bad(atm.Target.ID, "it has the id of another request")
+		return ast.rejectResponse(atm.Target.ID, "it has the id of another request")
 	case rsp.StatusCode < http.StatusOK:
-		return lgr.bad(atm.Target.ID, "it asks for another protocol")
+		return ast.rejectResponse(atm.Target.ID, "it asks for another protocol")
 	case !framed(rsp):
-		return lgr.bad(atm.Target.ID, "its length is not declared, so that a cut can't be told from its end")
+		return ast.rejectResponse(atm.Target.ID, "its length is not declared, so that a cut can't be told from its end")
 	case rsp.StatusCode == http.StatusServiceUnavailable && rsp.Header.Get(cardamompass.HeaderShed) == "true":
-		lgr.seal()
+		ast.endWrites()
 		if rsp.ContentLength <= maxShedBytes {
 			io.Copy(io.Discard, rsp.Body) //nolint:errcheck // only keeps the connection for reuse
 		}
@@ -48,12 +48,13 @@
 	return nil
 }
 
-// framed reports whether the end of the answer can be told from a cut. An answer that ends with its connection can't.
+// framed reports whether a complete response can be told from a truncated one. A response that ends when the connection is closed
+// can't.
 func framed(rsp *http.Response) bool {
 	return rsp.ContentLength >= 0 || len(rsp.TransferEncoding) > 0 || rsp.Request.Method == http.MethodHead
 }
 
-// bodyLength is the number of body bytes that follow the header on the wire, -1 if it is not known in advance.
+// bodyLength returns the number of body bytes that follow the header on the wire, -1 if it is not known in advance.
 func bodyLength(rsp *http.Response) int64 {
 	if rsp.Request.Method == http.MethodHead || rsp.StatusCode == http.StatusNoContent ||
 		rsp.StatusCode == http.StatusNotModified {
@@ -62,27 +63,27 @@
 	return rsp.ContentLength
 }
 
-// readShort reads an answer whole.
+// readShort reads a complete response.
 func (rly *Relay) readShort(
-	ctx context.Context, atm Attempt, rsp *http.Response, lgr *ledger,
+	ctx context.Context, atm Attempt, rsp *http.Response, ast *attemptState,
 ) (ans cardamompass.Response, err error) {
-	defer rsp.Body.Close() //nolint:errcheck // the body was read to its end or is given up
+	defer rsp.Body.Close() //nolint:errcheck // the body was read to its end or is dropped
 	length := bodyLength(rsp)
 	if length > rly.cfg.MaxShortBytes {
-		return ans, lgr.bad(atm.Target.ID, fmt.Sprintf("it declares %d bytes, at most %d are allowed",
+		return ans, ast.rejectResponse(atm.Target.ID, fmt.Sprintf("it declares %d bytes, at most %d are allowed",
 			length, rly.cfg.MaxShortBytes))
 	}
-	buf, err := readWhole(ctx, rsp.Body, length, rly.cfg.MaxShortBytes, atm.Pace)
+	buf, err := readAll(ctx, rsp.Body, length, rly.cfg.MaxShortBytes, atm.Pace)
 	if err != nil {
-		return ans, lgr.failure(ctx, atm.Target.ID, err)
+		return ans, ast.failure(ctx, atm.Target.ID, err)
 	}
 	if int64(len(buf)) > rly.cfg.MaxShortBytes {
-		return ans, lgr.bad(atm.Target.ID, fmt.Sprintf("it has more than the allowed %d bytes", rly.cfg.MaxShortBytes))
+		return ans, ast.rejectResponse(atm.Target.ID, fmt.Sprintf("it has more than the allowed %d bytes", rly.cfg.MaxShortBytes))
 	}
-	if length >= 0 && lgr.surplus(length) {
-		return ans, lgr.bad(atm.Target.ID, "bytes follow its declared end")
+	if length >= 0 && ast.hasTrailingBytes(length) {
+		return ans, ast.rejectResponse(atm.Target.ID, "bytes follow its declared end")
 	}
-	strip(rsp.Header)
+	stripHeaders(rsp.Header)
 	return cardamompass.Response{
 		Status: rsp.StatusCode,
 		Header: rsp.Header,
@@ -92,11 +93,10 @@
 	}, nil
 }
 
-// readWhole reads src to its end in chunks, or until it has read more than limit bytes. length is the declared length
-// or -1.
-func readWhole(ctx context.Context, src io.Reader, length, limit int64, pace Pace) (buf []byte, err error) {
+// readAll reads src in chunks to its end, or until it has read more than limit bytes. length is the declared length or -1.
+func readAll(ctx context.Context, src io.Reader, length, limit int64, pace Pace) (buf []byte, err error) {
 	if length > 0 {
-		buf = make([]byte, 0, length+1) // the last byte lets the read that finds the end have room
+		buf = make([]byte, 0, length+1) // one spare byte for the read that returns io.EOF
 	} else if length < 0 {
 		buf = make([]byte, 0, 4096)
 	}
@@ -104,8 +104,8 @@
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
 		}
-		room := buf[len(buf):min(cap(buf), len(buf)+ChunkBytes)]
-		num, err := src.Read(room)
+		free := buf[len(buf):min(cap(buf), len(buf)+ChunkBytes)]
+		num, err := src.Read(free)
 		buf = buf[:len(buf)+num]
 		if num > 0 && pace != nil {
 			if perr := pace(ctx, num); perr != nil {
