--- a/internal/fleet/cast/cast.go
+++ b/internal/fleet/cast/cast.go
@@ -1,9 +1,10 @@
-// Package cast tells the other entry VMs what targets stated of their load, and that this VM runs.
+// Package cast exchanges datagrams among the entry VMs. They carry the loads that targets reported, and show that the sender is
+// running.
 //
-// Each VM sends a datagram at a short interval to the other VMs, or to a bounded number of them in a large fleet. A lost datagram is not
-// repeated: the next one has fresher figures. Datagrams are neither encrypted nor authenticated; the package relies on a network in
-// which only the entry VMs reach the port. What they say makes a choice of a target better or worse, and never decides whether a request
-// may run.
+// Each VM sends a datagram at a short interval to the other VMs, or to a bounded number of them in a large fleet. A lost datagram is
+// not sent again: the next one has newer values. Datagrams are neither encrypted nor authenticated; the package relies on a network
+// in which only the entry VMs reach the port. Their content improves or worsens the choice of a target, and never decides whether a
+// request may run.
 package cast
 
 import (
@@ -24,27 +25,28 @@
 )
 
 const (
-	// Interval is the time between two datagrams. Targets' machines change their speed about every 600 ms.
+	// Interval is the time between two datagrams. The speed of the targets' machines changes about every 600 ms.
 	Interval = 100 * time.Millisecond
-	// quietInterval is the time after which a datagram is sent although there is nothing to report.
-	quietInterval = 500 * time.Millisecond
-	// heardTime is how long a VM counts as running after its last datagram.
-	heardTime = 2 * time.Second
-	// maxPeers bounds the VMs that get a datagram, so that the traffic of a VM does not grow with the fleet.
-	maxPeers = 12
-	// bytesPerSecond bounds what a VM sends; larger datagrams go to fewer VMs. The target size allows 10 KB/s for control.
-	bytesPerSecond = 8 << 10
-	// maxReports bounds the reports of a datagram, which must fit into one packet.
+	// idleInterval is the time after which a datagram is sent even without reports.
+	idleInterval = 500 * time.Millisecond
+	// peerTimeout is how long a VM is considered running after its last datagram.
+	peerTimeout = 2 * time.Second
+	// maxRecipients bounds the number of VMs that a datagram is sent to, so that the traffic of a VM does not grow with the fleet.
+	maxRecipients = 12
+	// maxBytesPerSecond bounds what a VM sends; larger datagrams are sent to fewer VMs. At the fleet size that the system is designed
+	// for, 10 KB/s are allowed for control traffic.
+	maxBytesPerSecond = 8 << 10
+	// maxReports bounds the number of reports in a datagram, which must fit into one packet.
 	maxReports = 30
-	// maxDatagram is more than a datagram with maxReports takes.
+	// maxDatagram is the size of the receive buffer in bytes. It is larger than a datagram with maxReports.
 	maxDatagram = 4 << 10
 )
 
-// Report is what a target stated of its load.
+// Report is the load that a target reported.
 type Report struct {
 	Instance cardamompass.InstanceID
 	Load     cardamompass.Load
-	// Age is the time since the target stated it.
+	// Age is the time since the target reported it.
 	Age time.Duration
 }
 
@@ -52,19 +54,19 @@
 type datagram struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 
-	VM          string
-	Incarnation uint64
-	Region      string
-	Domain      string
-	Caller      string
-	Peer        string
-	Stopping    bool
-	Reports     []wireValue
-	Capacity    int // requests a second
+	VM            string
+	Incarnation   uint64
+	Region        string
+	FailureDomain string
+	CallerAddress string
+	PeerAddress   string
+	Stopping      bool
+	Reports       []wireReport
+	Capacity      int // requests per second
 }
 
-// wireValue is a report in a datagram.
-type wireValue struct {
+// wireReport is a report in a datagram.
+type wireReport struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 
 	Instance string
@@ -75,12 +77,12 @@
 	AgeMS    int
 }
 
-// Config configures a Caster.
+// Config configures an Exchanger.
 type Config struct {
 	Self cardamompass.VM
-	// ListedVMs returns the running VMs that the store knows. The slice may be shared; it is not changed.
+	// ListedVMs returns the running VMs in the store. The slice may be shared; it is not modified.
 	ListedVMs func() []cardamompass.VM
-	// OnReports is told of the reports of another VM. It must not block.
+	// OnReports is called with the reports of each datagram received. It must not block.
 	OnReports func(reports []Report)
 	Clock     cardamompass.Clock
 	Log       *zap.Logger
@@ -92,13 +94,13 @@
 	con *net.UDPConn
 
 	mu       sync.Mutex
-	fresh    map[cardamompass.InstanceID]stamped
-	heard    map[cardamompass.VMID]sighting
+	pending  map[cardamompass.InstanceID]timedLoad
+	lastSeen map[cardamompass.VMID]sighting
 	stopping bool
 	sentAt   time.Time
 }
 
-type stamped struct {
+type timedLoad struct {
 	load cardamompass.Load
 	at   time.Time
 }
@@ -108,9 +110,9 @@
 	at  time.Time
 }
 
-// New listens at the VM's peer address and returns the function that ends the exchange.
-func New(cfg Config) (cst *Exchanger, cleanup func(), err error) {
-	defer func() { err = errors.Wrap(err, "exchange of loads") }()
+// New listens at the VM's peer address and returns the function that stops the exchange.
+func New(cfg Config) (exc *Exchanger, cleanup func(), err error) {
+	defer func() { err = errors.Wrap(err, "start load exchange") }()
 	adr, err := net.ResolveUDPAddr("udp4", cfg.Self.PeerAddress)
 	if err != nil {
 		return nil, nil, err
@@ -119,48 +121,48 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	cst = &Exchanger{
-		cfg:   cfg,
-		con:   con,
-		fresh: make(map[cardamompass.InstanceID]stamped),
-		heard: make(map[cardamompass.VMID]sighting),
+	exc = &Exchanger{
+		cfg:      cfg,
+		con:      con,
+		pending:  make(map[cardamompass.InstanceID]timedLoad),
+		lastSeen: make(map[cardamompass.VMID]sighting),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(cst.receive)
-	running.Go(func() { cst.send(ctx) })
-	return cst, func() {
+	running.Go(exc.receiveLoop)
+	running.Go(func() { exc.sendLoop(ctx) })
+	return exc, func() {
 		cancel()
-		_ = con.Close() // ends receive
+		_ = con.Close() // ends receiveLoop
 		running.Wait()
 	}, nil
 }
 
-// RecordLoad takes a load that a target stated to this VM.
-func (cst *Exchanger) RecordLoad(id cardamompass.InstanceID, lod cardamompass.Load) {
-	cst.mu.Lock()
-	defer cst.mu.Unlock()
-	cst.fresh[id] = stamped{
+// RecordLoad records a load that a target reported to this VM, to be sent with the next datagram.
+func (exc *Exchanger) RecordLoad(id cardamompass.InstanceID, lod cardamompass.Load) {
+	exc.mu.Lock()
+	defer exc.mu.Unlock()
+	exc.pending[id] = timedLoad{
 		load: lod,
-		at:   cst.cfg.Clock.Now(),
+		at:   exc.cfg.Clock.Now(),
 	}
 }
 
-// AnnounceStop tells the other VMs that this one stops.
-func (cst *Exchanger) AnnounceStop() {
-	cst.mu.Lock()
-	cst.stopping = true
-	cst.mu.Unlock()
-	cst.cast()
+// AnnounceStop notifies the other VMs that this one is stopping.
+func (exc *Exchanger) AnnounceStop() {
+	exc.mu.Lock()
+	exc.stopping = true
+	exc.mu.Unlock()
+	exc.sendDatagram()
 }
 
-// Running returns the other VMs from which a datagram came a short time ago and that do not stop.
-func (cst *Exchanger) Running() (vms []cardamompass.VM) {
-	now := cst.cfg.Clock.Now()
-	cst.mu.Lock()
-	defer cst.mu.Unlock()
-	for _, sgt := range cst.heard {
-		if now.Sub(sgt.at) < heardTime {
+// Running returns the other VMs from which a datagram arrived within peerTimeout and that are not stopping.
+func (exc *Exchanger) Running() (vms []cardamompass.VM) {
+	now := exc.cfg.Clock.Now()
+	exc.mu.Lock()
+	defer exc.mu.Unlock()
+	for _, sgt := range exc.lastSeen {
+		if now.Sub(sgt.at) < peerTimeout {
 			vms = append(vms, sgt.vmc)
 		}
 	}
@@ -169,9 +171,9 @@
 
 // OtherVMs returns the other VMs that serve: those in the store and those from which a datagram arrived recently, since
 // the store entry of a VM may lapse while the VM still serves.
-func (cst *Exchanger) OtherVMs() (vms []cardamompass.VM) {
-	seen := map[cardamompass.VMID]bool{cst.cfg.Self.ID: true}
-	for _, vmc := range slices.Concat(cst.cfg.ListedVMs(), cst.Running()) {
+func (exc *Exchanger) OtherVMs() (vms []cardamompass.VM) {
+	seen := map[cardamompass.VMID]bool{exc.cfg.Self.ID: true}
+	for _, vmc := range slices.Concat(exc.cfg.ListedVMs(), exc.Running()) {
 		if !seen[vmc.ID] {
 			seen[vmc.ID] = true
 			vms = append(vms, vmc)
@@ -180,7 +182,7 @@
 	return vms
 }
 
-func (cst *Exchanger) send(ctx context.Context) {
+func (exc *Exchanger) sendLoop(ctx context.Context) {
 	tck := time.NewTicker(Interval)
 	defer tck.Stop()
 	for {
@@ -188,95 +190,96 @@
 		case <-ctx.Done():
 			return
 		case <-tck.C:
-			if cst.due() {
-				cst.cast()
+			if exc.due() {
+				exc.sendDatagram()
 			}
 		}
 	}
 }
 
-// due reports whether there is something to tell.
-func (cst *Exchanger) due() (ok bool) {
-	cst.mu.Lock()
-	defer cst.mu.Unlock()
-	return len(cst.fresh) > 0 || cst.cfg.Clock.Now().Sub(cst.sentAt) >= quietInterval
+// due reports whether a datagram has to be sent now.
+func (exc *Exchanger) due() (ok bool) {
+	exc.mu.Lock()
+	defer exc.mu.Unlock()
+	return len(exc.pending) > 0 || exc.cfg.Clock.Now().Sub(exc.sentAt) >= idleInterval
 }
 
-// cast sends one datagram to the other VMs.
-func (cst *Exchanger) cast() {
+// sendDatagram sends one datagram to the recipients.
+func (exc *Exchanger) sendDatagram() {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
 	enc.UseCompactInts(true)
-	if err := enc.Encode(cst.take()); err != nil {
-		cst.cfg.Log.Error("datagram not encoded", zap.Error(err))
+	if err := enc.Encode(exc.nextDatagram()); err != nil {
+		exc.cfg.Log.Error("datagram not encoded", zap.Error(err))
 		return
 	}
 	data := buf.Bytes()
-	vms := cst.peers()
-	affordable := max(1, int(bytesPerSecond*Interval.Seconds())/len(data))
-	for _, vmc := range vms[:min(len(vms), affordable)] {
+	vms := exc.recipients()
+	maxVMs := max(1, int(maxBytesPerSecond*Interval.Seconds())/len(data))
+	for _, vmc := range vms[:min(len(vms), maxVMs)] {
 		adr, err := net.ResolveUDPAddr("udp4", vmc.PeerAddress)
 		if err != nil {
-			cst.cfg.Log.Warn("peer address not usable", zap.String("vm", string(vmc.ID)), zap.Error(err))
+			exc.cfg.Log.Warn("peer address not usable", zap.String("vm", string(vmc.ID)), zap.Error(err))
 			continue
 		}
-		_, _ = cst.con.WriteToUDP(data, adr) // the next datagram replaces one that is lost
+		_, _ = exc.con.WriteToUDP(data, adr) // a lost datagram is replaced by the next one
 	}
 }
 
-// take returns the datagram with the reports since the last one.
-func (cst *Exchanger) take() (dgr datagram) {
-	now := cst.cfg.Clock.Now()
-	self := cst.cfg.Self
-	cst.mu.Lock()
-	defer cst.mu.Unlock()
-	cst.sentAt = now
+// nextDatagram returns the datagram with the loads recorded since the last one, at most maxReports.
+func (exc *Exchanger) nextDatagram() (dgr datagram) {
+	now := exc.cfg.Clock.Now()
+	self := exc.cfg.Self
+	exc.mu.Lock()
+	defer exc.mu.Unlock()
+	exc.sentAt = now
 	dgr = datagram{
-		VM:          string(self.ID),
-		Incarnation: uint64(self.Incarnation),
-		Region:      string(self.Region),
-		Domain:      string(self.FailureDomain),
-		Caller:      self.CallerAddress,
-		Peer:        self.PeerAddress,
-		Stopping:    cst.stopping,
-		Capacity:    int(self.Capacity),
+		VM:            string(self.ID),
+		Incarnation:   uint64(self.Incarnation),
+		Region:        string(self.Region),
+		FailureDomain: string(self.FailureDomain),
+		CallerAddress: self.CallerAddress,
+		PeerAddress:   self.PeerAddress,
+		Stopping:      exc.stopping,
+		Capacity:      int(self.Capacity),
 	}
-	for id, stm := range cst.fresh {
+	for id, tml := range exc.pending {
 		if len(dgr.Reports) == maxReports {
 			break
 		}
-		delete(cst.fresh, id)
-		dgr.Reports = append(dgr.Reports, wireValue{
+		delete(exc.pending, id)
+		dgr.Reports = append(dgr.Reports, wireReport{
 			Instance: string(id),
-			Running:  stm.load.Running,
-			Waiting:  stm.load.Waiting,
-			Slots:    stm.load.Slots,
-			Slowness: int(stm.load.Slowness * 100),
-			AgeMS:    int(now.Sub(stm.at).Milliseconds()),
+			Running:  tml.load.Running,
+			Waiting:  tml.load.Waiting,
+			Slots:    tml.load.Slots,
+			Slowness: int(tml.load.Slowness * 100),
+			AgeMS:    int(now.Sub(tml.at).Milliseconds()),
 		})
 	}
 	return dgr
 }
 
-// peers returns the VMs that get a datagram: those of the own region first, since they use the same targets, then others. Within these a
-// VM comes earlier the more requests it can carry, by chance in that proportion, since loads are of use where requests are.
-func (cst *Exchanger) peers() (vms []cardamompass.VM) {
+// recipients returns the VMs that a datagram is sent to: those of this VM's region first, since they use the same targets, then
+// others. Both are in random order weighted by capacity, since loads are most useful where most requests are.
+func (exc *Exchanger) recipients() (vms []cardamompass.VM) {
 	var far []cardamompass.VM
-	for _, vmc := range cst.OtherVMs() {
+	for _, vmc := range exc.OtherVMs() {
 		switch {
 		case vmc.PeerAddress == "":
-		case vmc.Region == cst.cfg.Self.Region:
+		case vmc.Region == exc.cfg.Self.Region:
 			vms = append(vms, vmc)
 		default:
 			far = append(far, vmc)
 		}
 	}
-	vms = append(shuffled(vms), shuffled(far)...)
-	return vms[:min(len(vms), maxPeers)]
+	vms = append(weightedShuffle(vms), weightedShuffle(far)...)
+	return vms[:min(len(vms), maxRecipients)]
 }
 
-// shuffled orders VMs by chance, each weighted by its capacity: the time until the first event of a random process of that rate.
-func shuffled(vms []cardamompass.VM) (out []cardamompass.VM) {
+// weightedShuffle sorts VMs in random order, weighted by capacity: each VM's sort key is exponentially distributed with its
+// capacity as the rate.
+func weightedShuffle(vms []cardamompass.VM) (out []cardamompass.VM) {
 	times := make(map[cardamompass.VMID]float64, len(vms))
 	for _, vmc := range vms {
 		times[vmc.ID] = rand.ExpFloat64() / max(1, vmc.Capacity)
@@ -285,11 +288,11 @@
 	return vms
 }
 
-// receive takes datagrams until the connection is closed.
-func (cst *Exchanger) receive() {
+// receiveLoop receives datagrams until the connection is closed.
+func (exc *Exchanger) receiveLoop() {
 	buf := make([]byte, maxDatagram)
 	for {
-		num, _, err := cst.con.ReadFromUDP(buf)
+		num, _, err := exc.con.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -298,36 +301,36 @@
 			err = msgpack.Unmarshal(buf[:num], &dgr)
 		}
 		if err != nil {
-			cst.cfg.Log.Warn("datagram not understood", zap.Error(err))
+			exc.cfg.Log.Warn("datagram not decoded", zap.Error(err))
 			continue
 		}
-		cst.heardFrom(dgr)
+		exc.handle(dgr)
 	}
 }
 
-func (cst *Exchanger) heardFrom(dgr datagram) {
+func (exc *Exchanger) handle(dgr datagram) {
 	vmc := cardamompass.VM{
 		ID:            cardamompass.VMID(dgr.VM),
 		Incarnation:   cardamompass.Incarnation(dgr.Incarnation),
 		Region:        cardamompass.Region(dgr.Region),
-		FailureDomain: cardamompass.FailureDomain(dgr.Domain),
-		CallerAddress: dgr.Caller,
-		PeerAddress:   dgr.Peer,
+		FailureDomain: cardamompass.FailureDomain(dgr.FailureDomain),
+		CallerAddress: dgr.CallerAddress,
+		PeerAddress:   dgr.PeerAddress,
 		Capacity:      float64(dgr.Capacity),
 	}
-	cst.mu.Lock()
-	_, known := cst.heard[vmc.ID]
+	exc.mu.Lock()
+	_, known := exc.lastSeen[vmc.ID]
 	if dgr.Stopping {
-		delete(cst.heard, vmc.ID)
+		delete(exc.lastSeen, vmc.ID)
 	} else {
-		cst.heard[vmc.ID] = sighting{
+		exc.lastSeen[vmc.ID] = sighting{
 			vmc: vmc,
-			at:  cst.cfg.Clock.Now(),
+			at:  exc.cfg.Clock.Now(),
 		}
 	}
-	cst.mu.Unlock()
+	exc.mu.Unlock()
 	if known == dgr.Stopping {
-		cst.cfg.Log.Info("vm heard", zap.String("vm", dgr.VM), zap.Bool("stopping", dgr.Stopping))
+		exc.cfg.Log.Info("vm heard", zap.String("vm", dgr.VM), zap.Bool("stopping", dgr.Stopping))
 	}
 	reports := make([]Report, 0, len(dgr.Reports))
 	for _, val := range dgr.Reports {
@@ -345,5 +348,5 @@
 			Age: time.Duration(val.AgeMS) * time.Millisecond,
 		})
 	}
-	cst.cfg.OnReports(reports)
+	exc.cfg.OnReports(reports)
 }
--- a/internal/fleet/cast/cast_test.go
+++ b/internal/fleet/cast/cast_test.go
@@ -15,7 +15,7 @@
 	"cardamompass/internal/fleet/cast"
 )
 
-// node is one VM of a test.
+// node is a VM of a test and the reports that it received.
 type node struct {
 	*cast.Exchanger
 	self cardamompass.VM
@@ -24,19 +24,19 @@
 	reports []cast.Report
 }
 
-func (nod *node) heard(reports []cast.Report) {
+func (nod *node) onReports(reports []cast.Report) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	nod.reports = append(nod.reports, reports...)
 }
 
-func (nod *node) got() (reports []cast.Report) {
+func (nod *node) received() (reports []cast.Report) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	return slices.Clone(nod.reports)
 }
 
-// newNodes returns running VMs of these names.
+// newNodes returns running VMs with these names.
 func newNodes(t *testing.T, names ...string) (nodes []*node) {
 	t.Helper()
 	var vms []cardamompass.VM
@@ -46,7 +46,7 @@
 	return newNodesOf(t, vms...)
 }
 
-// newNodesOf returns running VMs in one region, each with an address of its own.
+// newNodesOf returns running VMs in one region, each with its own address.
 func newNodesOf(t *testing.T, vms ...cardamompass.VM) (nodes []*node) {
 	t.Helper()
 	var all []cardamompass.VM
@@ -62,10 +62,10 @@
 		nodes = append(nodes, &node{self: vmc})
 	}
 	for _, nod := range nodes {
-		cst, stop, err := cast.New(cast.Config{
+		exc, stop, err := cast.New(cast.Config{
 			Self:      nod.self,
 			ListedVMs: func() []cardamompass.VM { return all },
-			OnReports: nod.heard,
+			OnReports: nod.onReports,
 			Clock:     cardamompass.SystemClock{},
 			Log:       zap.NewNop(),
 		})
@@ -73,21 +73,21 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(stop)
-		nod.Exchanger = cst
+		nod.Exchanger = exc
 	}
 	return nodes
 }
 
-func await(t *testing.T, what string, cond func() bool) {
+func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not reached: " + what)
+			t.Fatal("not reached in time: " + what)
 		}
 	}
 }
 
-// Guards against loads that do not reach the other VMs, or reach them changed.
+// Guards against reports that do not reach the other VMs, or reach them changed.
 func TestReportsReachTheOthers(t *testing.T) {
 	nodes := newNodes(t, "vm-1", "vm-2", "vm-3")
 	lod := cardamompass.Load{
@@ -98,29 +98,29 @@
 	}
 	nodes[0].RecordLoad("i-1", lod)
 	for _, nod := range nodes[1:] {
-		await(t, "report at "+string(nod.self.ID), func() bool { return len(nod.got()) > 0 })
-		if rpt := nod.got()[0]; rpt.Instance != "i-1" || rpt.Load != lod || rpt.Age < 0 || rpt.Age > 5*time.Second {
+		waitFor(t, "report at "+string(nod.self.ID), func() bool { return len(nod.received()) > 0 })
+		if rpt := nod.received()[0]; rpt.Instance != "i-1" || rpt.Load != lod || rpt.Age < 0 || rpt.Age > 5*time.Second {
 			t.Fatalf("report %+v", rpt)
 		}
 	}
-	if len(nodes[0].got()) > 0 {
-		t.Fatal("a VM hears itself")
+	if len(nodes[0].received()) > 0 {
+		t.Fatal("a VM received its own report")
 	}
 }
 
-// Guards against look-ups that name a VM that stops, or leave out one that serves.
+// Guards against look-ups that return a VM that is stopping, or omit one that serves.
 func TestRunningVMs(t *testing.T) {
 	nodes := newNodes(t, "vm-1", "vm-2")
-	await(t, "both heard", func() bool { return len(nodes[0].Running()) == 1 && len(nodes[1].Running()) == 1 })
+	waitFor(t, "a datagram from each VM", func() bool { return len(nodes[0].Running()) == 1 && len(nodes[1].Running()) == 1 })
 	nodes[1].AnnounceStop()
-	await(t, "the stop heard", func() bool { return len(nodes[0].Running()) == 0 })
-	time.Sleep(time.Second) // later datagrams must not bring it back
+	waitFor(t, "the announcement of the stop", func() bool { return len(nodes[0].Running()) == 0 })
+	time.Sleep(time.Second) // later datagrams must not make it count as running again
 	if vms := nodes[0].Running(); len(vms) > 0 {
 		t.Fatalf("running %v", vms)
 	}
 }
 
-// Guards against writes into the list of the VMs' owner: appending the heard VMs to it overwrote what stood behind its end, which other
+// Guards against writes into the slice returned by ListedVMs: appending to it overwrote the elements after its end, which other
 // goroutines use at the same time.
 func TestListedVMsAreNotChanged(t *testing.T) {
 	lsn, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -129,11 +129,11 @@
 	}
 	address := lsn.LocalAddr().String()
 	lsn.Close()
-	behind := cardamompass.VM{
-		ID: "behind",
+	beyond := cardamompass.VM{
+		ID: "beyond",
 	}
-	listed := []cardamompass.VM{{ID: "vm-1"}, behind}
-	cst, stop, err := cast.New(cast.Config{
+	listed := []cardamompass.VM{{ID: "vm-1"}, beyond}
+	exc, stop, err := cast.New(cast.Config{
 		Self: cardamompass.VM{
 			ID:          "vm-1",
 			PeerAddress: address,
@@ -159,15 +159,16 @@
 	if _, err = con.Write(data); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "vm-2 heard", func() bool { return len(cst.Running()) == 1 })
-	cst.AnnounceStop() // sends a datagram to the listed and the heard VMs
-	if listed[1] != behind {
+	waitFor(t, "a datagram from vm-2", func() bool { return len(exc.Running()) == 1 })
+	exc.AnnounceStop() // sends a datagram to the listed and the running VMs
+	if listed[1] != beyond {
 		t.Fatalf("the list was changed: %+v", listed)
 	}
 }
 
-// Guards against loads that go to VMs with few requests as often as to those with many: a busy VM can afford one full datagram at a time.
-func TestStrongVMsHearMore(t *testing.T) {
+// Guards against datagrams that go to VMs of low capacity as often as to those of high capacity: the bandwidth limit allows a busy VM
+// one full datagram at a time.
+func TestHighCapacityVMsReceiveMore(t *testing.T) {
 	const rounds = 30
 	nodes := newNodesOf(t, cardamompass.VM{ID: "vm-1"}, cardamompass.VM{ID: "vm-2", Capacity: 1000}, cardamompass.VM{ID: "vm-3", Capacity: 1})
 	for round := range rounds {
@@ -176,13 +177,13 @@
 		}
 		time.Sleep(cast.Interval)
 	}
-	await(t, "loads at the strong VM", func() bool { return len(nodes[1].got()) > 0 })
-	if strong, weak := len(nodes[1].got()), len(nodes[2].got()); weak > strong/2 {
-		t.Fatalf("%d loads at the strong VM, %d at the weak one", strong, weak)
+	waitFor(t, "reports at the VM of high capacity", func() bool { return len(nodes[1].received()) > 0 })
+	if high, low := len(nodes[1].received()), len(nodes[2].received()); low > high/2 {
+		t.Fatalf("%d reports at the VM of high capacity, %d at the other one", high, low)
 	}
 }
 
-// Guards against a datagram of anybody that ends the exchange.
+// Guards against an invalid datagram that ends the exchange.
 func TestForeignDatagrams(t *testing.T) {
 	nodes := newNodes(t, "vm-1", "vm-2")
 	con, err := net.Dial("udp4", nodes[1].self.PeerAddress)
@@ -196,5 +197,5 @@
 		}
 	}
 	nodes[0].RecordLoad("i-1", cardamompass.Load{Slots: 6, Slowness: 1})
-	await(t, "report after foreign datagrams", func() bool { return len(nodes[1].got()) > 0 })
+	waitFor(t, "report after invalid datagrams", func() bool { return len(nodes[1].received()) > 0 })
 }
