--- a/internal/edge/dump/decisions.go
+++ b/internal/edge/dump/decisions.go
@@ -47,7 +47,7 @@
 	full bool
 }
 
-// NewDecisionLog returns a DecisionLog with room for count decisions, at least one.
+// NewDecisionLog returns a DecisionLog with capacity for count decisions, at least one.
 func NewDecisionLog(count int) *DecisionLog {
 	return &DecisionLog{
 		ring: make([]Decision, max(1, count)),
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -164,14 +164,26 @@
 	}{
 		{name: "unknown path", path: "/v2/x", want: "path"},
 		{name: "unknown service", path: "/v1/services/nowhere/x", want: "not in the catalogue"},
-		{name: "no request id", path: service, headers: map[string]string{cardamompass.HeaderRequestID: ""}, want: cardamompass.HeaderRequestID},
-		{name: "long request id", path: service, headers: map[string]string{cardamompass.HeaderRequestID: strings.Repeat("x", 129)}, want: cardamompass.HeaderRequestID},
-		{name: "unclear idempotence", path: service, headers: map[string]string{cardamompass.HeaderIdempotent: "maybe"}, want: cardamompass.HeaderIdempotent},
+		{
+			name: "no request id", path: service,
+			headers: map[string]string{cardamompass.HeaderRequestID: ""}, want: cardamompass.HeaderRequestID,
+		},
+		{
+			name: "long request id", path: service,
+			headers: map[string]string{cardamompass.HeaderRequestID: strings.Repeat("x", 129)}, want: cardamompass.HeaderRequestID,
+		},
+		{
+			name: "unclear idempotence", path: service,
+			headers: map[string]string{cardamompass.HeaderIdempotent: "maybe"}, want: cardamompass.HeaderIdempotent,
+		},
 		{name: "timeout with unit", path: service, headers: map[string]string{cardamompass.HeaderTimeout: "5s"}, want: "5000 ms"},
 		{name: "timeout too long", path: service, headers: map[string]string{cardamompass.HeaderTimeout: "5001"}, want: "5000 ms"},
 		{name: "attempt zero", path: service, headers: map[string]string{cardamompass.HeaderAttempt: "0"}, want: cardamompass.HeaderAttempt},
 		{name: "unknown region", path: service, headers: map[string]string{cardamompass.HeaderCallerRegion: "mars"}, want: "mars"},
-		{name: "malformed ticket", path: service, headers: map[string]string{cardamompass.HeaderIdempotent: "false", cardamompass.HeaderTicket: "x"}, want: cardamompass.HeaderTicket},
+		{
+			name: "malformed ticket", path: service,
+			headers: map[string]string{cardamompass.HeaderIdempotent: "false", cardamompass.HeaderTicket: "x"}, want: cardamompass.HeaderTicket,
+		},
 		{name: "large body", path: service, body: strings.Repeat("x", 65<<10), want: "65536 bytes"},
 	}
 	for _, tst := range tests {
@@ -214,10 +226,10 @@
 			t.Fatal(err)
 		}
 		_ = con.(*net.TCPConn).CloseWrite()
-		answer, _ := io.ReadAll(con)
+		response, _ := io.ReadAll(con)
 		_ = con.Close()
-		if bytes.HasPrefix(answer, []byte("HTTP/1.1 200")) {
-			t.Errorf("%.40q was answered with %.80q", data, answer)
+		if bytes.HasPrefix(response, []byte("HTTP/1.1 200")) {
+			t.Errorf("%.40q was answered with %.80q", data, response)
 		}
 	}
 	if got, _ := requestOutcome(t, http.MethodGet, address+"/v1/lookup?service=kiosk-core", nil, ""); got != cardamompass.OutcomeNotRun {
--- a/internal/edge/entry/fuzz_test.go
+++ b/internal/edge/entry/fuzz_test.go
@@ -75,7 +75,7 @@
 }
 
 // exchange sends raw bytes on a new connection, closes its write side, and returns all bytes up to the end of the connection.
-func exchange(t testing.TB, address string, data []byte) (answer []byte) {
+func exchange(t testing.TB, address string, data []byte) (response []byte) {
 	t.Helper()
 	con, err := net.Dial("tcp", address)
 	if err != nil {
@@ -89,12 +89,12 @@
 	if _, err = con.Write(data); err == nil {
 		_ = con.(*net.TCPConn).CloseWrite()
 	}
-	answer, err = io.ReadAll(con)
+	response, err = io.ReadAll(con)
 	var nerr net.Error
 	if errors.As(err, &nerr) && nerr.Timeout() {
 		t.Fatalf("no end of the connection within %s", exchangeTimeout)
 	}
-	return answer
+	return response
 }
 
 // requestMethods returns the methods of the requests in data up to the first that cannot be parsed. They are needed to
@@ -114,8 +114,8 @@
 }
 
 // checkResponses describes the first fault in the responses to data; it returns "" if there is none.
-func checkResponses(data, answer []byte) (fault string) {
-	rdr := bufio.NewReader(bytes.NewReader(answer))
+func checkResponses(data, response []byte) (fault string) {
+	rdr := bufio.NewReader(bytes.NewReader(response))
 	sent := requestMethods(data)
 	for num := 0; ; {
 		if _, err := rdr.Peek(1); err != nil {
@@ -192,9 +192,9 @@
 	}
 	address, logs := startWithLogs(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		answer := exchange(t, address, data)
-		if fault := checkResponses(data, answer); fault != "" {
-			t.Errorf("the response %s\n%q", fault, answer)
+		response := exchange(t, address, data)
+		if fault := checkResponses(data, response); fault != "" {
+			t.Errorf("the response %s\n%q", fault, response)
 		}
 		for _, ent := range logs.TakeAll() {
 			if strings.Contains(ent.Message, "panic") {
@@ -208,9 +208,9 @@
 func TestWrongMethod(t *testing.T) {
 	address, _ := startWithLogs(t)
 	for _, path := range []string{"/v1/lookup?service=kiosk-core", "/v1/operations"} {
-		answer := exchange(t, address, []byte("POST "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"))
-		if !bytes.Contains(answer, []byte(cardamompass.HeaderOutcome+": invalid")) {
-			t.Errorf("POST %s: %q", path, answer)
+		response := exchange(t, address, []byte("POST "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"))
+		if !bytes.Contains(response, []byte(cardamompass.HeaderOutcome+": invalid")) {
+			t.Errorf("POST %s: %q", path, response)
 		}
 	}
 }
@@ -218,26 +218,38 @@
 // Guards against a checkResponses that accepts faulty responses, since FuzzRequests relies on it.
 func TestCheckResponses(t *testing.T) {
 	tests := []struct {
-		name   string
-		sent   string
-		answer string
-		bad    bool
+		name      string
+		sent      string
+		response  string
+		wantFault bool
 	}{
-		{name: "nothing", answer: ""},
-		{name: "not HTTP", answer: "hello\r\n\r\n", bad: true},
-		{name: "no outcome", answer: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", bad: true},
-		{name: "unknown outcome", answer: "HTTP/1.1 200 OK\r\nCardamompass-Outcome: maybe\r\nContent-Length: 0\r\n\r\n", bad: true},
-		{name: "status of another outcome", answer: "HTTP/1.1 502 x\r\nCardamompass-Outcome: not-run\r\nContent-Length: 0\r\n\r\n", bad: true},
-		{name: "refusal without reason", answer: "HTTP/1.1 400 x\r\nCardamompass-Outcome: invalid\r\nContent-Length: 2\r\n\r\n{}", bad: true},
-		{name: "error on a connection that stays", answer: "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", bad: true},
-		{name: "second answer without outcome", answer: "HTTP/1.1 200 OK\r\nCardamompass-Outcome: answered\r\nContent-Length: 0\r\n\r\n" +
-			"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", bad: true},
-		{name: "cut answer", answer: "HTTP/1.1 200 OK\r\nCardamompass-Outcome: answered\r\nContent-Length: 9\r\n\r\nx"},
-		{name: "answer to HEAD", sent: "HEAD / HTTP/1.1\r\nHost: x\r\n\r\n", answer: "HTTP/1.1 400 x\r\nCardamompass-Outcome: invalid\r\nContent-Length: 9\r\n\r\n"},
+		{name: "no response", response: ""},
+		{name: "not HTTP", response: "hello\r\n\r\n", wantFault: true},
+		{name: "no outcome", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", wantFault: true},
+		{
+			name:     "unknown outcome",
+			response: "HTTP/1.1 200 OK\r\nCardamompass-Outcome: maybe\r\nContent-Length: 0\r\n\r\n", wantFault: true,
+		},
+		{
+			name:     "status of another outcome",
+			response: "HTTP/1.1 502 x\r\nCardamompass-Outcome: not-run\r\nContent-Length: 0\r\n\r\n", wantFault: true,
+		},
+		{
+			name:     "refusal without reason",
+			response: "HTTP/1.1 400 x\r\nCardamompass-Outcome: invalid\r\nContent-Length: 2\r\n\r\n{}", wantFault: true,
+		},
+		{name: "error on a connection that stays open", response: "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", wantFault: true},
+		{name: "second response without outcome", response: "HTTP/1.1 200 OK\r\nCardamompass-Outcome: answered\r\nContent-Length: 0\r\n\r\n" +
+			"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", wantFault: true},
+		{name: "cut response", response: "HTTP/1.1 200 OK\r\nCardamompass-Outcome: answered\r\nContent-Length: 9\r\n\r\nx"},
+		{
+			name: "response to HEAD", sent: "HEAD / HTTP/1.1\r\nHost: x\r\n\r\n",
+			response: "HTTP/1.1 400 x\r\nCardamompass-Outcome: invalid\r\nContent-Length: 9\r\n\r\n",
+		},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			if fault := checkResponses([]byte(tst.sent), []byte(tst.answer)); (fault != "") != tst.bad {
+			if fault := checkResponses([]byte(tst.sent), []byte(tst.response)); (fault != "") != tst.wantFault {
 				t.Errorf("fault %q", fault)
 			}
 		})
--- a/internal/edge/entry/request.go
+++ b/internal/edge/entry/request.go
@@ -113,7 +113,7 @@
 		if req.Attempt, err = strconv.Atoi(text); err != nil || req.Attempt < 1 {
 			return &cardamompass.InvalidError{
 				Field:  cardamompass.HeaderAttempt,
-				Reason: "must be a whole number from 1",
+				Reason: "must be an integer of at least 1",
 			}
 		}
 	}
@@ -155,13 +155,13 @@
 
 // forwardedHeaders returns the headers that are forwarded to the target.
 func forwardedHeaders(from http.Header) http.Header {
-	kept := make(http.Header, len(from))
+	forwarded := make(http.Header, len(from))
 	for name, values := range from {
 		if !strings.HasPrefix(textproto.CanonicalMIMEHeaderKey(name), headerPrefix) {
-			kept[name] = values
+			forwarded[name] = values
 		}
 	}
-	return kept
+	return forwarded
 }
 
 func readBody(rqs *http.Request, limit int64) (body []byte, err error) {
--- a/internal/edge/entry/suspect.go
+++ b/internal/edge/entry/suspect.go
@@ -10,7 +10,7 @@
 	"cardamompass/internal/fleet/spread"
 )
 
-// ReserveArgs requests exclusive use of a target for suspect requests of one VM.
+// ReserveArgs requests the reservation of a target for the suspect requests of one VM.
 type ReserveArgs struct {
 	Target cardamompass.TargetID
 	VM     cardamompass.VMID
--- a/internal/edge/lookup/block.go
+++ b/internal/edge/lookup/block.go
@@ -48,15 +48,15 @@
 func NewTable(blocks []Block) (tbl *Table, err error) {
 	defer func() { err = errors.Wrap(err, "make client-block table") }()
 	bld := newBuilder([]cardamompass.Region{""})
-	parts, six, err := bld.split(blocks)
+	ipv4, ipv6, err := bld.split(blocks)
 	if err != nil {
 		return nil, err
 	}
 	tbl = &Table{}
-	for num := range parts {
-		tbl.ipv4[num] = newShard(parts[num], false)
+	for num := range ipv4 {
+		tbl.ipv4[num] = newShard(ipv4[num], false)
 	}
-	tbl.ipv6 = newShard(six, true)
+	tbl.ipv6 = newShard(ipv6, true)
 	tbl.regions = bld.regions
 	return tbl, nil
 }
@@ -74,7 +74,7 @@
 		}
 	}
 	bld := newBuilder(slices.Clone(tbl.regions))
-	parts, _, err := bld.split(blocks)
+	ipv4, _, err := bld.split(blocks)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 		ipv4:    tbl.ipv4,
 		ipv6:    tbl.ipv6,
 	}
-	res.ipv4[first] = newShard(parts[first], false)
+	res.ipv4[first] = newShard(ipv4[first], false)
 	return res, nil
 }
 
@@ -173,11 +173,11 @@
 }
 
 // split converts blocks to the spans of each IPv4 shard and of the IPv6 shard.
-func (bld *builder) split(blocks []Block) (four [shards][]span, six []span, err error) {
+func (bld *builder) split(blocks []Block) (ipv4 [shards][]span, ipv6 []span, err error) {
 	for pos, blk := range blocks {
 		num, err := bld.number(blk.Region)
 		if err != nil {
-			return four, nil, err
+			return ipv4, nil, err
 		}
 		pfx := blk.Prefix.Masked()
 		spn := span{
@@ -187,14 +187,14 @@
 		}
 		switch {
 		case !pfx.IsValid():
-			return four, nil, &cardamompass.InvalidError{
+			return ipv4, nil, &cardamompass.InvalidError{
 				Field:  "client block",
 				Reason: "is not a prefix such as 192.0.2.0/24",
 			}
 		case pfx.Addr().Is4():
-			split4(&four, pfx, spn)
+			split4(&ipv4, pfx, spn)
 		case pfx.Bits() > 64:
-			return four, nil, &cardamompass.InvalidError{
+			return ipv4, nil, &cardamompass.InvalidError{
 				Field:  pfx.String(),
 				Reason: "is longer than 64 bits",
 			}
@@ -202,21 +202,21 @@
 			full := pfx.Addr().As16()
 			spn.first = binary.BigEndian.Uint64(full[:8])
 			spn.last = spn.first | (^uint64(0))>>spn.bits
-			six = append(six, spn)
+			ipv6 = append(ipv6, spn)
 		}
 	}
-	return four, six, nil
+	return ipv4, ipv6, nil
 }
 
-func split4(four *[shards][]span, pfx netip.Prefix, spn span) {
+func split4(ipv4 *[shards][]span, pfx netip.Prefix, spn span) {
 	oct := pfx.Addr().As4()
 	first := uint64(binary.BigEndian.Uint32(oct[:]))
 	last := first | (1<<(32-spn.bits) - 1)
 	for num := first >> 24; num <= last>>24; num++ {
-		part := spn
-		part.first = max(first, num<<24) & (1<<24 - 1)
-		part.last = min(last, num<<24|(1<<24-1)) & (1<<24 - 1)
-		four[num] = append(four[num], part)
+		sub := spn
+		sub.first = max(first, num<<24) & (1<<24 - 1)
+		sub.last = min(last, num<<24|(1<<24-1)) & (1<<24 - 1)
+		ipv4[num] = append(ipv4[num], sub)
 	}
 }
 
--- a/internal/edge/lookup/lookup.go
+++ b/internal/edge/lookup/lookup.go
@@ -122,7 +122,7 @@
 }
 
 // Resolve returns the JSON form of the Response to qry. The caller must not modify it.
-// Errors: InvalidError for an unknown service or region, NotRunError while no catalogue or no entry VM is known.
+// Errors: InvalidError for an unknown service or region, NotRunError without a catalogue or a serving entry VM.
 func (rsv *Resolver) Resolve(qry Query) (data []byte, err error) {
 	sta := rsv.view.Load()
 	if len(sta.view.Services) == 0 {
@@ -145,8 +145,8 @@
 		rotation: rotation(qry.Client),
 	}
 	now := rsv.cfg.Clock.Now()
-	if held, ok := sta.responses.Load(key); ok {
-		if cch := held.(cachedResponse); now.Sub(cch.builtAt) < responseTTL {
+	if cached, ok := sta.responses.Load(key); ok {
+		if cch := cached.(cachedResponse); now.Sub(cch.builtAt) < responseTTL {
 			return cch.data, nil
 		}
 	}
--- a/internal/edge/oper/bench_test.go
+++ b/internal/edge/oper/bench_test.go
@@ -20,10 +20,10 @@
 				var bytes uint64
 				for b.Loop() {
 					before := heapBytes()
-					tab, held := fillTable(b, count, kept)
+					tab, stored := fillTable(b, count, kept)
 					bytes = heapBytes() - before
-					if held != count {
-						b.Fatalf("%d records", held)
+					if stored != count {
+						b.Fatalf("%d records", stored)
 					}
 					runtime.KeepAlive(tab)
 				}
@@ -35,7 +35,7 @@
 	}
 }
 
-func fillTable(b *testing.B, count, kept int) (tab *oper.Table, held int) {
+func fillTable(b *testing.B, count, kept int) (tab *oper.Table, stored int) {
 	self := cardamompass.VM{
 		ID:          "gulf-entry-000",
 		Incarnation: 1_790_000_000_000_000_000,
@@ -81,14 +81,14 @@
 func BenchmarkExport(b *testing.B) {
 	for _, count := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("records=%d", count), func(b *testing.B) {
-			parts := 0
+			chunks := 0
 			for b.Loop() {
 				b.StopTimer()
 				tab, _ := fillTable(b, count, 64)
 				b.StartTimer()
-				parts = len(tab.Export(context.Background()))
+				chunks = len(tab.Export(context.Background()))
 			}
-			b.ReportMetric(float64(parts), "parts")
+			b.ReportMetric(float64(chunks), "chunks")
 		})
 	}
 }
--- a/internal/edge/oper/handover.go
+++ b/internal/edge/oper/handover.go
@@ -33,7 +33,7 @@
 	Entries []Entry
 }
 
-// Entry is one record of a Part.
+// Entry is one record of a Chunk.
 type Entry struct {
 	Operation Operation
 	Hash      Hash
@@ -123,7 +123,7 @@
 	hid := chk.homeID()
 	added := 0
 	for _, ent := range chk.Entries {
-		if _, held := mch.records[ent.Operation]; !held {
+		if _, found := mch.records[ent.Operation]; !found {
 			added++
 		}
 		if ent.Operation.Ticket.homeID() != hid {
@@ -149,8 +149,8 @@
 
 // importRecord stores an imported record, unless a record with an outcome that is at least as certain exists.
 func (mch *machine) importRecord(now time.Duration, ent Entry) {
-	rec, held := mch.records[ent.Operation]
-	if held && (rec.outcome.State != StateUnknown || ent.Outcome.State == StateUnknown) {
+	rec, found := mch.records[ent.Operation]
+	if found && (rec.outcome.State != StateUnknown || ent.Outcome.State == StateUnknown) {
 		return
 	}
 	rec = &record{
--- a/internal/edge/oper/machine.go
+++ b/internal/edge/oper/machine.go
@@ -82,8 +82,8 @@
 // again.
 func (mch *machine) begin(now time.Duration, opn Operation, hsh Hash, attempt int) (dec decision, oct Outcome) {
 	mch.expire(now)
-	rec, held := mch.records[opn]
-	if !held {
+	rec, found := mch.records[opn]
+	if !found {
 		return mch.admit(now, opn, hsh, attempt)
 	}
 	if rec.hash != hsh {
@@ -181,8 +181,8 @@
 
 // finish records the outcome of a running operation.
 func (mch *machine) finish(now time.Duration, opn Operation, oct Outcome) {
-	rec, held := mch.records[opn]
-	if !held || rec.outcome.State != StateRunning {
+	rec, found := mch.records[opn]
+	if !found || rec.outcome.State != StateRunning {
 		return
 	}
 	mch.running--
@@ -238,7 +238,7 @@
 // status returns the outcome of an operation.
 func (mch *machine) status(now time.Duration, opn Operation) (oct Outcome) {
 	mch.expire(now)
-	if rec, held := mch.records[opn]; held {
+	if rec, found := mch.records[opn]; found {
 		return rec.outcome
 	}
 	oct, _ = mch.classifyAbsent(now, opn)
--- a/internal/edge/oper/prop_test.go
+++ b/internal/edge/oper/prop_test.go
@@ -161,7 +161,7 @@
 
 // runScenario runs one scenario. It counts the operations that ran more than once, the false not-run outcomes and the
 // operations that ran.
-func runScenario(t *testing.T, seed int64, naive bool) (twice, falseNotRun, answered int) {
+func runScenario(t *testing.T, seed int64, naive bool) (twice, falseNotRun, executed int) {
 	synctest.Test(t, func(*testing.T) {
 		sim := &simulation{
 			seed:         seed,
@@ -192,18 +192,18 @@
 			nod.cleanup()
 		}
 		time.Sleep(time.Minute)
-		twice, falseNotRun, answered = sim.violations()
+		twice, falseNotRun, executed = sim.violations()
 	})
-	return twice, falseNotRun, answered
+	return twice, falseNotRun, executed
 }
 
 // violations counts operations that ran twice and not-runs that were not true: the operation ran before, or afterwards
 // although the caller did not send it again in between.
-func (sim *simulation) violations() (twice, falseNotRun, answered int) {
+func (sim *simulation) violations() (twice, falseNotRun, executed int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for rid, runs := range sim.executions {
-		answered++
+		executed++
 		if len(runs) > 1 {
 			twice++
 		}
@@ -213,7 +213,7 @@
 			}
 		}
 	}
-	return twice, falseNotRun, answered
+	return twice, falseNotRun, executed
 }
 
 // sentBetween reports whether the caller retried the operation after it got a not-run outcome and before the operation ran.
@@ -231,8 +231,8 @@
 	var ran, naiveTwice, naiveFalseNotRun int
 	prs := gopter.NewProperties(prm)
 	prs.Property("each operation runs at most once and each not-run is true", prop.ForAll(func(scenario int64) string {
-		twice, falseNotRun, arrived := runScenario(t, scenario, false)
-		ran += arrived
+		twice, falseNotRun, executed := runScenario(t, scenario, false)
+		ran += executed
 		ntw, nfn, _ := runScenario(t, scenario, true)
 		naiveTwice += ntw
 		naiveFalseNotRun += nfn
--- a/internal/edge/oper/table_test.go
+++ b/internal/edge/oper/table_test.go
@@ -242,8 +242,8 @@
 
 // Guards against methods that net/rpc does not accept, and against an outcome that changes in transit between two VMs.
 func TestForwardOverRPC(t *testing.T) {
-	near, far := net.Pipe()
-	srv, clt := rpc.NewServer(), rpc.NewClient(near)
+	clientEnd, serverEnd := net.Pipe()
+	srv, clt := rpc.NewServer(), rpc.NewClient(clientEnd)
 	defer clt.Close()
 	gone := cardamompass.VM{
 		ID:          "gone",
@@ -277,7 +277,7 @@
 	if err := srv.RegisterName("Oper", services[homeVM.ID]); err != nil {
 		t.Fatal(err)
 	}
-	go srv.ServeConn(far)
+	go srv.ServeConn(serverEnd)
 	req := cardamompass.Request{
 		ID:     "op",
 		Ticket: oper.Issue(homeVM, time.Unix(1_700_000_000, 0)).String(),
@@ -288,7 +288,7 @@
 		t.Fatal(err)
 	}
 	if body, _ := io.ReadAll(rsp.Body); string(body) != "whole" || rsp.Status != 201 {
-		t.Errorf("answer %+v, body %q", rsp, body)
+		t.Errorf("response %+v, body %q", rsp, body)
 	}
 	req.ID = "shed"
 	var nre *cardamompass.NotRunError
