--- a/internal/steer/health/bench_test.go
+++ b/internal/steer/health/bench_test.go
@@ -19,7 +19,7 @@
 }
 
 func BenchmarkDecide(b *testing.B) {
-	snp := snapshot(newTracker(20, nil), 17, epoch, route.Snapshot{})
+	snp := newSnapshot(newTracker(20, nil), 17, epoch, route.Snapshot{})
 	var dec route.Decision
 	req := route.Request{CallerRegion: "gulf"}
 	b.ReportAllocs()
--- a/internal/steer/health/cost_test.go
+++ b/internal/steer/health/cost_test.go
@@ -42,7 +42,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				snp = snapshot(trk, 6*count, epoch, snp)
+				snp = newSnapshot(trk, 6*count, epoch, snp)
 				dec = route.Decide(&snp, &req, dec)
 			}
 			b.ReportMetric(float64(size)/float64(count), "B/target")
@@ -68,9 +68,9 @@
 	return num, err
 }
 
-// cannedTarget answers probes with fixed bytes and as little work as possible, so that what is measured is mostly the
-// prober's part. It counts the probes by their second request.
-func cannedTarget(b *testing.B, probes *atomic.Int64) (address string) {
+// startFixedTarget starts a target that responds to probes with fixed bytes and little processing, so that the benchmark
+// measures mostly the prober. It counts the probes by their second request.
+func startFixedTarget(b *testing.B, probes *atomic.Int64) (address string) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -104,11 +104,11 @@
 	return lis.Addr().String()
 }
 
-// BenchmarkProbe measures the bytes of one probe, both of its requests with their answers, without the headers of TCP and
-// IP, and its processor time.
+// BenchmarkProbe measures the bytes of one probe, both of its requests with their responses, without TCP and IP headers,
+// and its processor time.
 func BenchmarkProbe(b *testing.B) {
 	var sent, probes atomic.Int64
-	address := cannedTarget(b, &probes)
+	address := startFixedTarget(b, &probes)
 	var dlr net.Dialer
 	cli := &http.Client{
 		Transport: &http.Transport{
@@ -151,7 +151,7 @@
 	return time.Duration(usg.Utime.Nano() + usg.Stime.Nano())
 }
 
-// BenchmarkProberMemory reports the memory of a prober by the number of targets, stacks included, between its probes.
+// BenchmarkProberMemory reports the memory of an idle prober by the number of targets, stacks included.
 func BenchmarkProberMemory(b *testing.B) {
 	for _, count := range []int{20, 100, 450, 980} {
 		b.Run(fmt.Sprintf("targets=%d", count), func(b *testing.B) {
@@ -187,7 +187,7 @@
 	return after.HeapAlloc + after.StackInuse - before.HeapAlloc - before.StackInuse
 }
 
-// BenchmarkProbeConnections reports the connections that are opened for each probe, by the number of targets, with the
+// BenchmarkProbeConnections reports the number of connections opened for each probe, by the number of targets, with the
 // transport that an entry VM uses: a clone of the default one.
 func BenchmarkProbeConnections(b *testing.B) {
 	for _, count := range []int{20, 90, 150, 300} {
--- a/internal/steer/health/flight.go
+++ b/internal/steer/health/flight.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// flight is one request in flight. Unused ones are kept in a list, so that the request path allocates none.
+// flight is one request in flight. Unused ones are kept in a free list, so that the request path allocates none.
 type flight struct {
 	start      time.Time
 	prev, next *flight
-	// use counts how often the flight was taken, so that a token of an earlier use is recognized.
+	// use changes when the flight is taken and when it is returned, so that a token of an earlier use is detected.
 	use uint64
 }
 
-// flights is the list of a target's requests in flight in the order of their starts. The oldest one is known in O(1).
+// flights is the list of a target's requests in flight, sorted by start time. The oldest one is found in O(1).
 type flights struct {
 	first, last *flight
 	count       int
@@ -23,7 +23,7 @@
 	return fls.first.start
 }
 
-// add inserts the flight by its start. Starts arrive nearly in order, so that the search from the end is short.
+// add inserts the flight by its start time. Flights are added nearly in order, so that the search from the end is short.
 func (fls *flights) add(flt *flight) {
 	prev := fls.last
 	for prev != nil && prev.start.After(flt.start) {
--- a/internal/steer/health/health_test.go
+++ b/internal/steer/health/health_test.go
@@ -48,7 +48,7 @@
 	return trk
 }
 
-func snapshot(trk *health.Tracker, share int, now time.Time, old route.Snapshot) route.Snapshot {
+func newSnapshot(trk *health.Tracker, share int, now time.Time, old route.Snapshot) route.Snapshot {
 	snp := trk.Snapshot("core", now, old)
 	snp.VMRegion = "gulf"
 	snp.Regions = append(snp.Regions[:0], route.RegionState{
@@ -59,15 +59,15 @@
 }
 
 func decide(trk *health.Tracker, share int, now time.Time) (dec route.Decision) {
-	snp := snapshot(trk, share, now, route.Snapshot{})
+	snp := newSnapshot(trk, share, now, route.Snapshot{})
 	return route.Decide(&snp, &route.Request{CallerRegion: "gulf"}, route.Decision{})
 }
 
-// Guards against new work on a leaving target 3 s after the first sign at any VM, while health endpoints lag by 2 s and
-// reports of peers take up to 1 s.
+// Guards against new requests to a leaving target 3 s after the first signal at any VM, while health endpoints lag by 2 s
+// and reports of peers take up to 1 s.
 func TestNoWorkOnLeavingTarget(t *testing.T) {
 	prs := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(*seed))
-	prs.Property("3 s after the first sign", prop.ForAll(func(num uint64) string {
+	prs.Property("3 s after the first signal", prop.ForAll(func(num uint64) string {
 		rng := rand.New(rand.NewPCG(num, 0))
 		var trks []*health.Tracker
 		reps := make(map[int]bool) // the steps in which a report reaches the peers
@@ -84,7 +84,7 @@
 				if reps[step] {
 					trk.MarkLeaving("core-1", health.SignalPeerReport, now)
 				}
-				// Each VM probes once a second, at a time of its own.
+				// Each VM probes once a second, at its own phase.
 				switch {
 				case step%10 != phases[i]:
 				case now.Sub(epoch) < 2*time.Second:
@@ -96,7 +96,7 @@
 			trk := trks[rng.IntN(7)]
 			for _, cnd := range decide(trk, 18, now).Candidates {
 				if cnd.Target == "core-1" && now.Sub(epoch) > 3*time.Second {
-					return fmt.Sprint("work on a leaving target after ", now.Sub(epoch))
+					return fmt.Sprint("new request to a leaving target after ", now.Sub(epoch))
 				}
 			}
 		}
@@ -105,28 +105,28 @@
 	prs.TestingRun(t)
 }
 
-// Guards against signs that end too early or never, and against a restored target that gets its full load at once.
+// Guards against signals that end too early or never, and against a restored target that gets its full load at once.
 func TestSignLifeTimes(t *testing.T) {
 	tests := []struct {
 		name    string
-		sign    health.LeaveSignal
+		signal  health.LeaveSignal
 		serving bool
 		life    time.Duration
 	}{
-		{"peer report that outlives 10 s", health.SignalPeerReport, false, 10 * time.Second},
-		{"VM list entry that lasts for ever", health.SignalVMList, false, 30 * time.Second},
-		{"draining probe that lasts although a later one says serving", health.SignalHealthProbe, true, 5 * time.Second},
+		{"peer report that lasts longer than 10 s", health.SignalPeerReport, false, 10 * time.Second},
+		{"VM list entry that never expires", health.SignalVMList, false, 30 * time.Second},
+		{"draining probe that lasts although a later one finds the target serving", health.SignalHealthProbe, true, 5 * time.Second},
 		{"draining probe that ends without a later one", health.SignalHealthProbe, false, 2 * time.Minute},
-		{"drain answer that lasts although a later probe says serving", health.SignalDrainAnswer, true, 30 * time.Second},
+		{"drain answer that lasts although a later probe finds the target serving", health.SignalDrainAnswer, true, 30 * time.Second},
 		{"drain answer that ends without a probe", health.SignalDrainAnswer, false, 2 * time.Minute},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
 			announced := 0
 			trk := newTracker(1, func(health.LeavingReport) { announced++ })
-			trk.MarkLeaving("core-0", tst.sign, epoch)
-			trk.MarkLeaving("core-0", tst.sign, epoch)
-			if want := min(1, int(health.SignalPeerReport-tst.sign)); announced != want {
+			trk.MarkLeaving("core-0", tst.signal, epoch)
+			trk.MarkLeaving("core-0", tst.signal, epoch)
+			if want := min(1, int(health.SignalPeerReport-tst.signal)); announced != want {
 				t.Errorf("announced %d times, want %d", announced, want)
 			}
 			if dec := decide(trk, 6, epoch.Add(tst.life-time.Millisecond)); len(dec.Candidates) != 0 {
@@ -148,7 +148,8 @@
 	}
 }
 
-// Guards against a target that is used while its requests fail, or that is lost because its health endpoint is silent.
+// Guards against a target that is used while its requests fail, or that is never used again because its health endpoint
+// does not respond.
 func TestFailing(t *testing.T) {
 	trk := newTracker(1, nil)
 	for range 3 {
@@ -171,7 +172,7 @@
 func TestShareUnderConcurrency(t *testing.T) {
 	const share = 13
 	trk := newTracker(5, nil)
-	var flying, begun atomic.Int64
+	var inFlight, begun atomic.Int64
 	var wtg sync.WaitGroup
 	for wkr := range 8 {
 		wtg.Go(func() {
@@ -181,13 +182,13 @@
 			var dec route.Decision
 			for range 3000 {
 				if len(toks) > 0 && rng.IntN(2) == 0 {
-					flying.Add(-1)
+					inFlight.Add(-1)
 					trk.Done(toks[0], epoch, health.Answered)
 					trk.Done(toks[0], epoch, health.Answered)
 					toks = toks[1:]
 					continue
 				}
-				snp = snapshot(trk, share, epoch, snp)
+				snp = newSnapshot(trk, share, epoch, snp)
 				dec = route.Decide(&snp, &route.Request{CallerRegion: "gulf"}, dec)
 				cnd, ok := dec.Best()
 				if !ok {
@@ -196,13 +197,13 @@
 				if tok, ok := trk.BeginWithin(&cnd, epoch); ok {
 					begun.Add(1)
 					toks = append(toks, tok)
-					if all := flying.Add(1); all > share {
+					if all := inFlight.Add(1); all > share {
 						t.Errorf("%d in flight of a share of %d", all, share)
 					}
 				}
 			}
 			for _, tok := range toks {
-				flying.Add(-1)
+				inFlight.Add(-1)
 				trk.Done(tok, epoch, health.Answered)
 			}
 		})
@@ -211,15 +212,15 @@
 	if begun.Load() == 0 {
 		t.Error("nothing has begun")
 	}
-	for _, tgt := range snapshot(trk, share, epoch, route.Snapshot{}).Targets {
+	for _, tgt := range newSnapshot(trk, share, epoch, route.Snapshot{}).Targets {
 		if tgt.InFlight != 0 || !tgt.OldestStart.IsZero() {
 			t.Errorf("%s has %d in flight at the end", tgt.ID, tgt.InFlight)
 		}
 	}
 }
 
-// Guards against probes that miss the state draining on an error status, that miss load reports, or that outlive the
-// prober.
+// Guards against probes that miss the state draining on an error status, that miss load reports, or that continue after
+// the prober is stopped.
 func TestProber(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	loads := make(chan struct{}, 100)
@@ -237,26 +238,26 @@
 		_, _ = rsp.Write([]byte(`{"state":"serving"}`))
 	}))
 	defer srv.Close()
-	signs := make(chan health.LeavingReport, 1)
-	trk := newTracker(1, func(rep health.LeavingReport) { signs <- rep })
+	reports := make(chan health.LeavingReport, 1)
+	trk := newTracker(1, func(rep health.LeavingReport) { reports <- rep })
 	prb, stop := health.NewProber(health.ProberConfig{
 		Tracker:  trk,
 		Clock:    cardamompass.SystemClock{},
 		Client:   &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 		Interval: time.Millisecond,
 		Timeout:  time.Minute,
-		// A high rate, so that the interval decides.
+		// The rate is so high that only the interval limits the probes.
 		PerSecond: 10000,
 	})
 	tgts := targets(1)
 	tgts[0].Address = strings.TrimPrefix(srv.URL, "http://")
 	prb.SetTargets(tgts)
-	rep := <-signs
+	rep := <-reports
 	stop()
 	if rep.Signal != health.SignalHealthProbe || rep.Target != "core-0" {
 		t.Errorf("report %+v", rep)
 	}
-	tst := snapshot(trk, 6, time.Now(), route.Snapshot{}).Targets[0]
+	tst := newSnapshot(trk, 6, time.Now(), route.Snapshot{}).Targets[0]
 	if !tst.Leaving || tst.UsableSlots != 2 || !tst.Overloaded {
 		t.Errorf("state %+v", tst)
 	}
--- a/internal/steer/health/latency.go
+++ b/internal/steer/health/latency.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// latencyWindow is the time after which the older half of the latencies is forgotten.
+	// latencyWindow is the interval at which the older histogram is discarded.
 	latencyWindow = 5 * time.Second
-	// refreshEvery is the number of latencies between two evaluations of the quantiles.
-	refreshEvery = 64
-	// minSamples is the number of latencies from which on the quantiles are used.
+	// samplesPerRefresh is the number of samples between two computations of the quantiles.
+	samplesPerRefresh = 64
+	// minSamples is the minimum number of samples for which the quantiles are computed.
 	minSamples = 16
 	// smoothing is the weight of one latency in the smoothed value.
 	smoothing = 1.0 / 32
-	// maxLatency bounds the recorded latencies; longer ones count as this.
+	// maxLatency is the largest recorded latency; longer ones are recorded as this value.
 	maxLatency = 5 * time.Minute
 )
 
-// Latency describes the recent latency of a service. All values are zero until enough requests were answered.
+// Latency is the recent latency of a service. All values are zero until enough requests have been answered.
 type Latency struct {
 	// Smoothed is an exponentially weighted mean.
 	Smoothed time.Duration
-	// Usual is the 75th percentile: most requests take less, and it hardly moves while under a tenth of the targets are
-	// stragglers. Three times the median lies within the normal range of services with exponentially distributed times,
-	// and marked so many good targets as stragglers that the real ones were not told apart.
+	// Usual is the 75th percentile: most requests take less, and it hardly changes while fewer than a tenth of the targets
+	// are stragglers. The median is not used: with exponentially distributed service times three times the median is
+	// within the normal range, so that too many good targets would count as stragglers to identify the real ones.
 	Usual time.Duration
 	// P95 is the 95th percentile.
 	P95 time.Duration
 }
 
-// latencies keeps the latencies of one service in two histograms that take turns.
+// latencies records the latencies of one service in two histograms that are rotated.
 type latencies struct {
 	mut     sync.Mutex
 	current *hdrhistogram.Histogram
@@ -43,7 +43,7 @@
 }
 
 func newLatencies() (lts *latencies) {
-	// Two significant figures from 1 us on keep the error below 1% in about 20 KB for each histogram.
+	// Two significant figures from 1 us on keep the error below 1%. Each histogram takes about 20 KB.
 	return &latencies{
 		current: hdrhistogram.New(1, maxLatency.Microseconds(), 2),
 		older:   hdrhistogram.New(1, maxLatency.Microseconds(), 2),
@@ -67,17 +67,17 @@
 	lts.lat.Smoothed += time.Duration(smoothing * float64(dur-lts.lat.Smoothed))
 	lts.pending++
 	total := lts.current.TotalCount() + lts.older.TotalCount()
-	if total >= minSamples && (lts.pending >= refreshEvery || lts.lat.Usual == 0) {
+	if total >= minSamples && (lts.pending >= samplesPerRefresh || lts.lat.Usual == 0) {
 		lts.pending = 0
 		lts.refresh()
 	}
 }
 
-// refresh takes the quantiles from the histogram with more latencies, so that a rotation does not leave the estimate
-// to a few of them.
+// refresh computes the quantiles. Shortly after a rotation it uses the older histogram, so that the estimate does not
+// depend on a few samples.
 func (lts *latencies) refresh() {
 	hst := lts.current
-	if hst.TotalCount() < lts.older.TotalCount() && hst.TotalCount() < 4*refreshEvery {
+	if hst.TotalCount() < lts.older.TotalCount() && hst.TotalCount() < 4*samplesPerRefresh {
 		hst = lts.older
 	}
 	lts.lat.Usual = time.Duration(hst.ValueAtQuantile(75)) * time.Microsecond
--- a/internal/steer/health/probe.go
+++ b/internal/steer/health/probe.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// DefaultProbeInterval keeps the delay until a health endpoint's sign is seen well under the 3 s that are allowed.
+	// DefaultProbeInterval keeps the delay until a probe detects a draining target well under the 3 s that are allowed.
 	DefaultProbeInterval = time.Second
 	// DefaultProbeTimeout bounds one probe, both of its requests together.
 	DefaultProbeTimeout = 500 * time.Millisecond
 	// DefaultProbesPerSecond bounds the probes of one VM. A larger number of targets lengthens the interval.
 	DefaultProbesPerSecond = 40
-	// MinProbesPerSecond is the rate of one VM in a large fleet: 463 bytes a probe are 2.8 KB/s.
+	// MinProbesPerSecond is the probe rate of one VM in a large fleet. At 463 bytes a probe it takes 2.8 KB/s.
 	MinProbesPerSecond = 6
-	// fleetProbesPerSecond is the rate of the whole fleet up to which each VM probes at the full rate.
+	// fleetProbesPerSecond is the probe rate of the whole fleet up to which each VM probes at its full rate.
 	fleetProbesPerSecond = 400
-	// probeJitter is the part of the interval by which it varies, so that the VMs do not probe in step.
+	// probeJitter is the fraction of the interval by which it varies, so that the VMs do not probe at the same time.
 	probeJitter = 0.2
-	// maxProbeBytes bounds what is read of a probe's answer.
+	// maxProbeBytes bounds the bytes that are read of a probe's response.
 	maxProbeBytes = 4096
 )
 
@@ -45,13 +45,13 @@
 	Random func() float64
 }
 
-// Prober asks each target for its health and load at an interval. It is safe for concurrent use.
+// Prober requests the health and the load of each target at an interval. It is safe for concurrent use.
 type Prober struct {
 	cfg ProberConfig
 	wtg sync.WaitGroup
 
 	mut       sync.Mutex
-	off       bool
+	stopped   bool
 	perSecond int
 	stops     map[cardamompass.TargetID]context.CancelFunc
 	addrs     map[cardamompass.TargetID]string
@@ -82,28 +82,29 @@
 
 func (prb *Prober) stop() {
 	prb.mut.Lock()
-	prb.off = true
+	prb.stopped = true
 	for tid := range prb.stops {
-		prb.end(tid)
+		prb.stopTarget(tid)
 	}
 	prb.mut.Unlock()
 	prb.wtg.Wait()
 }
 
-// SetFleetSize tells the number of entry VMs. Beyond ten of them each VM probes less often, since a VM tells others what it finds, down
-// to MinProbesPerSecond, which leaves room for the other roles in the 10 KB/s that a VM may spend on control.
+// SetFleetSize sets the number of entry VMs. With more than ten of them each VM probes less often, since VMs report leaving targets to
+// each other. The rate does not fall below MinProbesPerSecond, which leaves bandwidth for other control traffic within the 10 KB/s that a
+// VM may use for control.
 func (prb *Prober) SetFleetSize(members int) {
 	prb.mut.Lock()
 	defer prb.mut.Unlock()
 	prb.perSecond = min(prb.cfg.PerSecond, max(MinProbesPerSecond, fleetProbesPerSecond/max(1, members)))
 }
 
-// SetTargets replaces the probed targets. In a large fleet these are the VM's own subset. It has no effect after the
-// prober was stopped.
+// SetTargets replaces the probed targets. In a large fleet these are the VM's own subset. It has no effect once the
+// prober is stopped.
 func (prb *Prober) SetTargets(tgts []cardamompass.Target) {
 	prb.mut.Lock()
 	defer prb.mut.Unlock()
-	if prb.off {
+	if prb.stopped {
 		return
 	}
 	keep := make(map[cardamompass.TargetID]bool, len(tgts))
@@ -112,19 +113,19 @@
 		if prb.addrs[tgt.ID] == tgt.Address {
 			continue
 		}
-		prb.end(tgt.ID)
+		prb.stopTarget(tgt.ID)
 		ctx, cancel := context.WithCancel(context.Background())
 		prb.stops[tgt.ID], prb.addrs[tgt.ID] = cancel, tgt.Address
 		prb.wtg.Go(func() { prb.run(ctx, tgt) })
 	}
 	for tid := range prb.stops {
 		if !keep[tid] {
-			prb.end(tid)
+			prb.stopTarget(tid)
 		}
 	}
 }
 
-func (prb *Prober) end(tid cardamompass.TargetID) {
+func (prb *Prober) stopTarget(tid cardamompass.TargetID) {
 	if cancel := prb.stops[tid]; cancel != nil {
 		cancel()
 	}
@@ -132,7 +133,7 @@
 	delete(prb.addrs, tid)
 }
 
-// run probes one target until ctx ends. The first probe comes at a random time within the interval.
+// run probes one target until ctx ends. The first probe is sent at a random time within the interval.
 func (prb *Prober) run(ctx context.Context, tgt cardamompass.Target) {
 	wait := time.Duration(prb.cfg.Random() * float64(prb.interval()))
 	for {
@@ -148,15 +149,15 @@
 	}
 }
 
-// interval returns the interval that keeps all probes under the rate.
+// interval returns the interval at which the probes of all targets stay within the rate.
 func (prb *Prober) interval() (itv time.Duration) {
 	prb.mut.Lock()
 	defer prb.mut.Unlock()
 	return max(prb.cfg.Interval, time.Duration(len(prb.stops))*time.Second/time.Duration(prb.perSecond))
 }
 
-// probe asks once for health and load. The state counts whatever the status, since a target that drains may answer
-// with 503. A missing load report is no failure.
+// probe requests health and load once. The state is read whatever the HTTP status, since a draining target may respond
+// with 503. A missing load report is not a failure.
 func (prb *Prober) probe(ctx context.Context, tgt cardamompass.Target) {
 	pctx, cancel := context.WithTimeout(ctx, prb.cfg.Timeout)
 	defer cancel()
--- a/internal/steer/health/target.go
+++ b/internal/steer/health/target.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// failuresToAvoid is the number of consecutive failures after which a target counts as failing. A single broken
+	// failureThreshold is the number of consecutive failures after which a target counts as failing. A single broken
 	// connection is common when a target restarts a worker.
-	failuresToAvoid = 3
-	// failingLife is the time for which a failing target gets no work, unless a probe or request succeeds before. After
-	// it, requests try the target again even when its health endpoint is silent.
-	failingLife = 5 * time.Second
-	// loadLife is the age at which a load report is forgotten.
-	loadLife = 5 * time.Second
-	// maxSlowHold bounds the time for which a target counts as slow after late requests.
-	maxSlowHold = 4 * time.Second
-	// slowGrowth is the factor by which each further late request in a row lengthens that time. A single late request
-	// costs its target about one request, a target that stays slow is soon tried only every few seconds.
-	slowGrowth = 4
+	failureThreshold = 3
+	// failingTTL is the time for which a failing target gets no requests, unless a probe or request succeeds before. After
+	// it, requests are sent to the target again even when its health endpoint does not respond.
+	failingTTL = 5 * time.Second
+	// loadTTL is the age at which a load report expires.
+	loadTTL = 5 * time.Second
+	// maxSlowTime bounds the time for which a target counts as slow after late requests.
+	maxSlowTime = 4 * time.Second
+	// slowTimeGrowth is the factor by which each consecutive late request lengthens that time. A single late request keeps
+	// about one request away from its target; a target that stays slow is soon tried only every few seconds.
+	slowTimeGrowth = 4
 )
 
 // target is the state of one target. It is guarded by the lock of its group.
@@ -30,12 +30,12 @@
 	grp  *group
 	fls  flights
 
-	sgs          signs
+	sgs          signals
 	failures     int
 	failingUntil time.Time
 	avoided      bool
 	coldSince    time.Time
-	saysCold     bool
+	reportedCold bool
 
 	late      int
 	slowUntil time.Time
@@ -45,9 +45,9 @@
 	overloaded  bool
 }
 
-// refresh notes when the target has become usable again. It then starts cold, since other VMs restore it at about the
-// same time.
-func (tgt *target) refresh(now time.Time) (avoided bool) {
+// updateAvoided updates whether the target is avoided. A target that becomes usable again starts cold, since other VMs
+// restore it at about the same time.
+func (tgt *target) updateAvoided(now time.Time) (avoided bool) {
 	avoided = tgt.sgs.leaving(now) || now.Before(tgt.failingUntil)
 	if tgt.avoided && !avoided {
 		tgt.coldSince = now
@@ -57,7 +57,7 @@
 }
 
 func (tgt *target) state(now time.Time) (tst route.TargetState) {
-	tgt.refresh(now)
+	tgt.updateAvoided(now)
 	tst = route.TargetState{
 		ID:            tgt.cfg.ID,
 		Region:        tgt.cfg.Region,
@@ -72,7 +72,7 @@
 		Failing:       now.Before(tgt.failingUntil),
 		ColdSince:     tgt.coldSince,
 	}
-	if !tgt.loadAt.IsZero() && now.Sub(tgt.loadAt) < loadLife {
+	if !tgt.loadAt.IsZero() && now.Sub(tgt.loadAt) < loadTTL {
 		tst.UsableSlots = min(tgt.cfg.Slots, tgt.usableSlots)
 		tst.Overloaded = tgt.overloaded
 	}
@@ -80,31 +80,32 @@
 }
 
 func (tgt *target) succeeded(now time.Time) {
-	if tgt.failures >= failuresToAvoid {
+	if tgt.failures >= failureThreshold {
 		tgt.failingUntil = time.Time{}
-		tgt.refresh(now)
+		tgt.updateAvoided(now)
 	}
 	tgt.failures = 0
 }
 
 func (tgt *target) failed(now time.Time) {
 	tgt.failures++
-	if tgt.failures >= failuresToAvoid {
-		tgt.failingUntil = now.Add(failingLife)
-		tgt.refresh(now)
+	if tgt.failures >= failureThreshold {
+		tgt.failingUntil = now.Add(failingTTL)
+		tgt.updateAvoided(now)
 	}
 }
 
-// down notes that the target refuses connections. It gets no work for failingLife, unless a probe or request succeeds
-// before.
-func (tgt *target) down(now time.Time) {
-	tgt.failures = max(tgt.failures, failuresToAvoid)
-	tgt.failingUntil = now.Add(failingLife)
-	tgt.refresh(now)
+// markDown records that the target refuses connections. It gets no requests for failingTTL, unless a probe or request
+// succeeds before.
+func (tgt *target) markDown(now time.Time) {
+	tgt.failures = max(tgt.failures, failureThreshold)
+	tgt.failingUntil = now.Add(failingTTL)
+	tgt.updateAvoided(now)
 }
 
-// judge marks the target as slow when a request on it took age and the service's usual latency is known.
-func (tgt *target) judge(res Result, age, usual time.Duration, now time.Time) {
+// updateSlow marks the target as slow after a request that was late or whose hedge was answered first; age is the time that
+// the request took. A request that was answered in time resets the count of consecutive late requests.
+func (tgt *target) updateSlow(res Result, age, usual time.Duration, now time.Time) {
 	late := usual > 0 && age > route.StragglerFactor*usual
 	switch {
 	case late && (res == Answered || res == Cancelled), res == HedgeLost:
@@ -116,26 +117,26 @@
 	}
 	hold := max(age, time.Millisecond)
 	for range tgt.late {
-		hold = min(hold*slowGrowth, maxSlowHold)
+		hold = min(hold*slowTimeGrowth, maxSlowTime)
 	}
 	tgt.late++
-	tgt.slowUntil = now.Add(min(hold, maxSlowHold))
+	tgt.slowUntil = now.Add(min(hold, maxSlowTime))
 }
 
-// setLoad takes over a load report. It only makes decisions more careful: reported slots above the catalogue's count
-// do not, and a target is never written off on its own word.
+// setLoad records a load report. A report can only reduce the use of a target: slots above the catalogue's count are
+// ignored, and at least one slot stays usable whatever the target reports.
 func (tgt *target) setLoad(inFlight, slots int, now time.Time) {
 	tgt.loadAt = now
 	tgt.usableSlots = max(1, slots)
 	tgt.overloaded = inFlight > max(1, slots)
 }
 
-// setProbed takes over the state that the health endpoint names.
+// setProbed records the state that the health endpoint reported, serving or cold.
 func (tgt *target) setProbed(cold bool, now time.Time) {
 	tgt.sgs = tgt.sgs.withServing(now)
 	tgt.succeeded(now)
-	if cold && !tgt.saysCold {
+	if cold && !tgt.reportedCold {
 		tgt.coldSince = now
 	}
-	tgt.saysCold = cold
+	tgt.reportedCold = cold
 }
--- a/internal/steer/health/targets.go
+++ b/internal/steer/health/targets.go
@@ -7,9 +7,9 @@
 	"cardamompass/internal/steer/route"
 )
 
-// SetTargets replaces the targets by those of the catalogue in force, or by the VM's subset of them. Targets that stay
-// keep their state; a target whose service or region changes is a new one. Targets of the first call count as warm,
-// later ones as cold. Requests in flight on a removed target still end with Done.
+// SetTargets replaces the targets with those of the catalogue in force, or with the VM's subset of them. Targets that
+// remain keep their state; a target whose service or region changes counts as new. Targets of the first call are warm,
+// new targets of later calls are cold. Requests in flight on a removed target must still be ended with Done.
 func (trk *Tracker) SetTargets(tgts []cardamompass.Target, now time.Time) {
 	trk.set.Lock()
 	defer trk.set.Unlock()
@@ -21,7 +21,7 @@
 	members := make(map[*group][]*target)
 	for _, cfg := range tgts {
 		grp := idx.group(old, cfg)
-		members[grp] = append(members[grp], grp.keep(old.targets[cfg.ID], cfg, len(old.targets) > 0, trk.cfg.Self, now))
+		members[grp] = append(members[grp], grp.targetFor(old.targets[cfg.ID], cfg, len(old.targets) > 0, trk.cfg.Self, now))
 	}
 	for grp, mbs := range members {
 		grp.mut.Lock()
@@ -34,8 +34,8 @@
 	trk.idx.Store(idx)
 }
 
-// keep returns the target in its new configuration.
-func (grp *group) keep(
+// targetFor returns the target with its new configuration. It is tgt if that belongs to the group.
+func (grp *group) targetFor(
 	tgt *target, cfg cardamompass.Target, cold bool, self cardamompass.VMID, now time.Time,
 ) (kept *target) {
 	if tgt != nil && tgt.grp == grp {
@@ -55,8 +55,8 @@
 	return tgt
 }
 
-// group returns the group of the target in idx. It is the same one as in old if there is one, because requests in
-// flight refer to it.
+// group returns the group of the target in idx. The group of old is reused if there is one, because requests in flight
+// refer to it.
 func (idx *index) group(old *index, cfg cardamompass.Target) (grp *group) {
 	was := old.services[cfg.Service]
 	srv := idx.services[cfg.Service]
--- a/internal/steer/health/track.go
+++ b/internal/steer/health/track.go
@@ -1,13 +1,13 @@
-// Package health keeps the state of each target as one entry VM knows it.
+// Package health tracks the state of each target as one entry VM sees it.
 //
-// A Tracker counts the VM's own requests in flight with their start times, keeps recent latencies, and collects signs
-// that a target leaves: the VM list, a drain answer, the health endpoint, the report of a peer. Each sign has a life time
-// of its own. From the first sign until the last one has ended, and while consecutive requests fail, the target gets no
-// new work; then it is ramped up like a cold target. Load reports are late and only make decisions more careful.
+// A Tracker counts the VM's own requests in flight with their start times, records recent latencies, and collects signals
+// that a target is leaving: the VM list, a drain response, the health endpoint, the report of a peer. Each signal has its
+// own lifetime. From the first signal until the last one has ended, and while consecutive requests fail, the target gets
+// no new requests; then it is ramped up like a cold target. Load reports are late and can only reduce the use of a target.
 //
-// Snapshot gives the state to package route. Begin checks the limits of a decision again under the lock, so that
-// concurrent decisions on the same snapshot never exceed them. Methods of the request path take the time from the
-// caller, allocate nothing once warm, and are safe for concurrent use. A Prober asks the targets for health and load.
+// Snapshot returns the state for package route. BeginWithin checks the limits of a decision again under the lock, so that
+// concurrent decisions on the same snapshot never exceed them. Methods of the request path take the time as a parameter,
+// do not allocate in the steady state, and are safe for concurrent use. A Prober requests health and load of the targets.
 package health
 
 import (
@@ -23,13 +23,13 @@
 type Result uint8
 
 const (
-	// Answered is a whole answer of the target.
+	// Answered is a complete response of the target.
 	Answered Result = iota
-	// Failed is a refused or broken connection, or no answer before the deadline.
+	// Failed is a refused or broken connection, or no response before the deadline.
 	Failed
-	// Shed is the target's statement that it did not run the request.
+	// Shed is a response of the target that it did not run the request.
 	Shed
-	// Cancelled is a request that the caller gave up, or a hedge that lost.
+	// Cancelled is a request that the caller cancelled, or a hedge that lost.
 	Cancelled
 	// HedgeLost is a first attempt that was cancelled because its hedge was answered sooner.
 	HedgeLost
@@ -39,8 +39,8 @@
 type Config struct {
 	// Self is the VM, for the rendezvous order.
 	Self cardamompass.VMID
-	// Announce is called with each new own sign, outside of all locks, in the goroutine that reported the sign. It must
-	// send the sign to the peers at once, and must not wait for their answers. It may be nil.
+	// Announce is called with each new own signal, outside of all locks, in the goroutine that reported the signal. It must
+	// send the signal to the peers at once, and must not wait for their responses. It may be nil.
 	Announce func(rep LeavingReport)
 }
 
@@ -51,7 +51,7 @@
 	idx atomic.Pointer[index]
 }
 
-// index finds targets and services. It is replaced as a whole.
+// index maps ids to targets and names to services. It is replaced as a whole.
 type index struct {
 	targets  map[cardamompass.TargetID]*target
 	services map[cardamompass.ServiceName]*service
@@ -62,7 +62,7 @@
 	grps []*group
 }
 
-// group is the targets of one service in one region, which share a limit.
+// group holds the targets of one service in one region, which share a limit.
 type group struct {
 	reg  cardamompass.Region
 	lts  *latencies
@@ -80,14 +80,14 @@
 	return trk
 }
 
-// Token stands for one request in flight. The zero Token stands for none.
+// Token identifies one request in flight. The zero Token identifies none.
 type Token struct {
 	tgt *target
 	flt *flight
 	use uint64
 }
 
-// Begin counts a request as in flight on the target, without regard to limits. It returns the zero Token for an unknown
+// Begin counts a request as in flight on the target, regardless of limits. It returns the zero Token for an unknown
 // target.
 func (trk *Tracker) Begin(tid cardamompass.TargetID, now time.Time) (tok Token) {
 	tgt := trk.idx.Load().targets[tid]
@@ -99,8 +99,8 @@
 	return tgt.begin(now)
 }
 
-// BeginWithin counts a request as in flight on the candidate unless the target has become avoided or a limit of the
-// decision is reached by now.
+// BeginWithin counts a request as in flight on the candidate unless the target is avoided by now or a limit of the
+// decision has been reached.
 func (trk *Tracker) BeginWithin(cnd *route.Candidate, now time.Time) (tok Token, ok bool) {
 	tgt := trk.idx.Load().targets[cnd.Target]
 	if tgt == nil {
@@ -109,7 +109,7 @@
 	grp := tgt.grp
 	grp.mut.Lock()
 	defer grp.mut.Unlock()
-	if tgt.refresh(now) || tgt.fls.count >= cnd.Limit {
+	if tgt.updateAvoided(now) || tgt.fls.count >= cnd.Limit {
 		return Token{}, false
 	}
 	usable, all := 0, 0
@@ -155,8 +155,8 @@
 		return
 	}
 	age := now.Sub(tok.flt.start)
-	tok.tgt.end(tok.flt)
-	tok.tgt.judge(res, age, usual, now)
+	tok.tgt.removeFlight(tok.flt)
+	tok.tgt.updateSlow(res, age, usual, now)
 	switch res {
 	case Answered:
 		tok.tgt.succeeded(now)
@@ -170,27 +170,27 @@
 	}
 }
 
-func (tgt *target) end(flt *flight) {
+func (tgt *target) removeFlight(flt *flight) {
 	tgt.fls.remove(flt)
 	flt.use++
 	flt.next = tgt.grp.free
 	tgt.grp.free = flt
 }
 
-// MarkLeaving records a sign that the target leaves. A new own sign is announced.
-func (trk *Tracker) MarkLeaving(tid cardamompass.TargetID, sgn LeaveSignal, now time.Time) {
+// MarkLeaving records a signal that the target is leaving. A new own signal is announced.
+func (trk *Tracker) MarkLeaving(tid cardamompass.TargetID, sig LeaveSignal, now time.Time) {
 	if trk.update(tid, now, func(tgt *target) (fresh bool) {
-		tgt.sgs, fresh = tgt.sgs.with(sgn, now)
+		tgt.sgs, fresh = tgt.sgs.with(sig, now)
 		return fresh
 	}) && trk.cfg.Announce != nil {
 		trk.cfg.Announce(LeavingReport{
 			Target: tid,
-			Signal: sgn,
+			Signal: sig,
 		})
 	}
 }
 
-// ProbeSucceeded records that the health endpoint answered and names the target serving or cold.
+// ProbeSucceeded records that the health endpoint reported the state serving or cold.
 func (trk *Tracker) ProbeSucceeded(tid cardamompass.TargetID, cold bool, now time.Time) {
 	trk.update(tid, now, func(tgt *target) (fresh bool) {
 		tgt.setProbed(cold, now)
@@ -198,7 +198,7 @@
 	})
 }
 
-// ProbeFailed records that the health endpoint gave no answer.
+// ProbeFailed records that the health endpoint returned no valid response.
 func (trk *Tracker) ProbeFailed(tid cardamompass.TargetID, now time.Time) {
 	trk.update(tid, now, func(tgt *target) (fresh bool) {
 		tgt.failed(now)
@@ -206,15 +206,15 @@
 	})
 }
 
-// MarkDown records that the target broke a connection and then refused a new one. It counts as failing at once.
+// MarkDown records that the target broke a connection and then refused a new one. The target counts as failing at once.
 func (trk *Tracker) MarkDown(tid cardamompass.TargetID, now time.Time) {
 	trk.update(tid, now, func(tgt *target) (fresh bool) {
-		tgt.down(now)
+		tgt.markDown(now)
 		return false
 	})
 }
 
-// RecordLoad records a load report. It is a hint for 5 s.
+// RecordLoad records a load report, which is used for 5 s.
 func (trk *Tracker) RecordLoad(tid cardamompass.TargetID, inFlight, slots int, now time.Time) {
 	trk.update(tid, now, func(tgt *target) (fresh bool) {
 		tgt.setLoad(inFlight, slots, now)
@@ -222,7 +222,7 @@
 	})
 }
 
-// update changes the state of one target under its lock, and notes whether it is avoided afterwards.
+// update changes the state of one target under its lock and then updates whether it is avoided.
 func (trk *Tracker) update(tid cardamompass.TargetID, now time.Time, change func(tgt *target) bool) (fresh bool) {
 	tgt := trk.idx.Load().targets[tid]
 	if tgt == nil {
@@ -231,12 +231,12 @@
 	tgt.grp.mut.Lock()
 	defer tgt.grp.mut.Unlock()
 	fresh = change(tgt)
-	tgt.refresh(now)
+	tgt.updateAvoided(now)
 	return fresh
 }
 
-// Snapshot returns the state of the service's targets. The memory of old is reused, and old's Regions and VMRegion are
-// kept; the caller fills these.
+// Snapshot returns the state of the service's targets. It reuses the slices of old and keeps its Regions and VMRegion,
+// which the caller sets.
 func (trk *Tracker) Snapshot(svc cardamompass.ServiceName, now time.Time, old route.Snapshot) (snp route.Snapshot) {
 	snp = old
 	snp.Now = now
@@ -257,7 +257,7 @@
 	return snp
 }
 
-// Latency returns the recent latency of the service, zero values while it is not known.
+// Latency returns the recent latency of the service, or zero values while it is unknown.
 func (trk *Tracker) Latency(svc cardamompass.ServiceName) (lat Latency) {
 	srv := trk.idx.Load().services[svc]
 	if srv == nil {
@@ -269,14 +269,14 @@
 // TargetView is the state of one target for the state dump.
 type TargetView struct {
 	State route.TargetState
-	// Signals are the signs in force, each with its end.
+	// Signals are the signals in force.
 	Signals []SignalView
 	// Failures counts the consecutive failures, Late the consecutive requests that ended late.
 	Failures int
 	Late     int
 }
 
-// SignalView is one sign in force.
+// SignalView is one signal in force and its end.
 type SignalView struct {
 	Signal LeaveSignal
 	Until  time.Time
@@ -293,7 +293,7 @@
 		for _, tgt := range grp.tgts {
 			views = append(views, TargetView{
 				State:    tgt.state(now),
-				Signals:  tgt.sgs.view(now),
+				Signals:  tgt.sgs.views(now),
 				Failures: tgt.failures,
 				Late:     tgt.late,
 			})
