--- a/internal/edge/direct/direct.go
+++ b/internal/edge/direct/direct.go
@@ -1,10 +1,12 @@
-// Package direct answers look-ups on the users' platform: which entry VMs a caller should use.
+// Package direct answers look-ups on the users' platform: it returns the entry VMs that a caller should use.
 //
-// It names running VMs of the caller's region, those of its failure domain first. Traffic between failure domains and regions is priced,
-// and a route may be bound to regions. VMs of other regions are named only while the caller's region has none.
+// It returns running VMs of the caller's region, those of its failure domain first, because traffic between failure domains and
+// between regions is priced and a route may be restricted to regions. VMs of other regions are returned only while the caller's
+// region has none.
 //
-// Callers connect to one of the named VMs at random, so each of these gets the same part of the requests, whatever it can carry. A VM
-// that can carry much less than the others of its region is therefore named only when the region can carry more with it.
+// Callers choose one of the returned VMs at random, so that each gets the same part of the requests regardless of its capacity. A
+// VM with much less capacity than the others of its region is therefore returned only if it does not reduce the total capacity of
+// the returned VMs.
 package direct
 
 import (
@@ -19,27 +21,28 @@
 )
 
 const (
-	// answerTTL is how long a caller may use an answer. A VM that stops is still asked for that long.
-	answerTTL = 2 * time.Second
-	// maxAddresses is the number of addresses that a caller reads.
+	// responseTTL is how long a caller may use a look-up response. A VM that stops still receives requests for that long.
+	responseTTL = 2 * time.Second
+	// maxAddresses is the number of addresses that a caller reads from a response.
 	maxAddresses = 64
-	// leastNamed is the number of VMs that are named where there are as many, so that a caller has another one when one fails.
-	leastNamed = 2
+	// minAddresses is the minimum number of VMs that are returned, if there are as many, so that a caller has an alternative when
+	// one fails.
+	minAddresses = 2
 )
 
 // Config configures a Handler.
 type Config struct {
 	Self     cardamompass.VM
 	Protocol cardamompass.Protocol
-	// Others returns the other running VMs.
-	Others func() []cardamompass.VM
-	// Stopping reports whether this VM stops, so that it must not name itself.
+	// OtherVMs returns the other running VMs.
+	OtherVMs func() []cardamompass.VM
+	// Stopping reports whether this VM is stopping; it then leaves itself out of responses.
 	Stopping func() bool
 	MaxTTL   time.Duration
 	Log      *zap.Logger
 }
 
-// Handler answers look-ups. It is safe for concurrent use.
+// Handler is the HTTP handler of look-ups. It is safe for concurrent use.
 type Handler struct{ cfg Config }
 
 // New returns a Handler.
@@ -52,7 +55,7 @@
 // ServeHTTP implements http.Handler.
 func (hnd *Handler) ServeHTTP(wrt http.ResponseWriter, req *http.Request) {
 	lkp := hnd.cfg.Protocol.ParseLookup(req.URL.Query())
-	ttl := answerTTL
+	ttl := responseTTL
 	if hnd.cfg.MaxTTL > 0 {
 		ttl = min(ttl, hnd.cfg.MaxTTL)
 	}
@@ -66,25 +69,25 @@
 	hnd.cfg.Log.Info("look-up answered", zap.String("name", lkp.Name), zap.String("failure-domain", string(lkp.FailureDomain)),
 		zap.Strings("addresses", addresses))
 	wrt.Header().Set("Content-Type", "application/json")
-	_, _ = wrt.Write(body) // a caller that has left asks again
+	_, _ = wrt.Write(body) // a caller that did not get the response repeats the look-up
 }
 
-// running returns the running VMs, this one included unless it stops.
+// running returns the running VMs, including this one unless it is stopping.
 func (hnd *Handler) running() (vms []cardamompass.VM) {
-	vms = hnd.cfg.Others()
+	vms = hnd.cfg.OtherVMs()
 	if !hnd.cfg.Stopping() {
 		vms = append(vms, hnd.cfg.Self)
 	}
 	return vms
 }
 
-// Addresses returns where the caller of a look-up should connect, the nearest first.
+// Addresses returns the addresses of the VMs to which the caller of a look-up should connect, the nearest first.
 func Addresses(vms []cardamompass.VM, lkp cardamompass.Lookup) (addresses []string) {
 	near := slices.DeleteFunc(slices.Clone(vms), func(vmc cardamompass.VM) bool { return vmc.Region != lkp.Region })
 	if len(near) == 0 {
 		near = slices.Clone(vms)
 	}
-	near = capable(near)
+	near = maxTotalCapacity(near)
 	slices.SortStableFunc(near, func(one, two cardamompass.VM) int {
 		return cmp.Or(cmp.Compare(distance(one, lkp), distance(two, lkp)), cmp.Compare(one.ID, two.ID))
 	})
@@ -94,26 +97,26 @@
 	return addresses
 }
 
-// capable returns the VMs that together carry most when each gets the same part of the requests: that is the number of named VMs times
-// the capacity of the weakest of them. All are returned when the capacity of one is not known.
-func capable(vms []cardamompass.VM) (named []cardamompass.VM) {
-	named = slices.Clone(vms)
-	slices.SortStableFunc(named, func(one, two cardamompass.VM) int {
+// maxTotalCapacity returns the VMs that together have the greatest capacity when each gets the same part of the requests, which is
+// their number times the smallest of their capacities. It returns all VMs if the capacity of any is unknown.
+func maxTotalCapacity(vms []cardamompass.VM) (selected []cardamompass.VM) {
+	selected = slices.Clone(vms)
+	slices.SortStableFunc(selected, func(one, two cardamompass.VM) int {
 		return cmp.Or(cmp.Compare(two.Capacity, one.Capacity), cmp.Compare(one.ID, two.ID))
 	})
-	best, count := 0.0, len(named)
-	for num, vmc := range named {
+	best, count := 0.0, len(selected)
+	for num, vmc := range selected {
 		if vmc.Capacity <= 0 {
 			return vms
 		}
-		if total := float64(num+1) * vmc.Capacity; num+1 >= leastNamed && total >= best {
+		if total := float64(num+1) * vmc.Capacity; num+1 >= minAddresses && total >= best {
 			best, count = total, num+1
 		}
 	}
-	return named[:count]
+	return selected[:count]
 }
 
-func distance(vmc cardamompass.VM, lkp cardamompass.Lookup) (steps int) {
+func distance(vmc cardamompass.VM, lkp cardamompass.Lookup) (rank int) {
 	switch {
 	case vmc.FailureDomain == lkp.FailureDomain:
 		return 0
--- a/internal/edge/direct/direct_test.go
+++ b/internal/edge/direct/direct_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Guards against callers that are sent far away, to nobody, or to a VM that stops.
+// Guards against look-up responses that name VMs of another region, no VM, or a VM that is stopping.
 func TestAnswers(t *testing.T) {
 	own := vm("own", "gulf", "g-1")
 	tests := []struct {
@@ -45,7 +45,7 @@
 			hnd := direct.New(direct.Config{
 				Self:     own,
 				Protocol: platform.Protocol{},
-				Others:   func() []cardamompass.VM { return tst.others },
+				OtherVMs: func() []cardamompass.VM { return tst.others },
 				Stopping: func() bool { return tst.stopping },
 				Log:      zap.NewNop(),
 			})
@@ -68,15 +68,15 @@
 	}
 }
 
-// Guards against callers that are sent to VMs with narrow links: on mbmu-rain-grown VMs of 20 Mbit/s got as many downloads as those of
-// 200 Mbit/s, and these took a second and more.
+// Guards against sending callers to VMs with little bandwidth: on mbmu-rain-grown VMs with 20 Mbit/s got as many downloads as those
+// with 200 Mbit/s, and these downloads took a second or more.
 func TestWeakVMsAreNotNamed(t *testing.T) {
 	tests := []struct {
 		name       string
 		capacities []float64
 		want       int
 	}{
-		{"alike", []float64{800, 800, 800}, 3},
+		{"equal", []float64{800, 800, 800}, 3},
 		{"two to one", []float64{1600, 800}, 2},
 		{"four strong ones", []float64{1500, 170, 1500, 150, 1500, 160, 1500, 170, 150}, 4},
 		{"many weak ones", []float64{1500, 170, 170, 170, 170, 170, 170, 170, 170, 170}, 10},
@@ -94,7 +94,7 @@
 			}
 			got := direct.Addresses(vms, cardamompass.Lookup{Region: "gulf"})
 			if len(got) != tst.want {
-				t.Fatalf("%d VMs named: %v, want %d", len(got), got, tst.want)
+				t.Fatalf("%d addresses: %v, want %d", len(got), got, tst.want)
 			}
 		})
 	}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,5 +1,5 @@
-// Package node is the process of an entry VM on the users' platform. It connects the parts: it follows the store, announces the VM,
-// serves callers and look-ups, says whether it is ready, and carries out a planned stop.
+// Package node implements the process of an entry VM on the users' platform. It follows the store, announces the VM, serves callers
+// and look-ups, reports readiness and carries out a planned stop.
 package node
 
 import (
@@ -26,20 +26,22 @@
 )
 
 const (
-	// metricsPort is where metrics are served. The deploy file names it.
+	// metricsPort is the port on which metrics are served. The deploy file contains the same number.
 	metricsPort = "9464"
-	// firstTableWait is how long the listeners wait for the first routing table, firstTablePoll the time between two looks.
+	// firstTableWait is how long the start waits for the first routing table before it opens the listeners, firstTablePoll the
+	// interval of the checks.
 	firstTableWait = time.Second
 	firstTablePoll = 5 * time.Millisecond
-	// censusInterval is the time between two counts of the VMs that were heard.
-	censusInterval = 200 * time.Millisecond
-	// trimInterval is the time between two looks for idle connections that are too old.
-	trimInterval = time.Second
-	// headerTimeout and idleTimeout bound the reading of a header and the idle time of a connection where the routing table has no limits.
+	// vmCountInterval is the interval at which the number of running VMs is updated.
+	vmCountInterval = 200 * time.Millisecond
+	// pruneInterval is the interval at which expired idle connections are closed.
+	pruneInterval = time.Second
+	// headerTimeout and idleTimeout are the limits for reading a header and for idle connections of callers when the routing table
+	// sets none.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// targetSilence ends a connection to a target that does not confirm what was sent.
-	targetSilence = 1500 * time.Millisecond
+	// targetAckTimeout is how long sent bytes may stay unacknowledged before a connection to a target is closed.
+	targetAckTimeout = 1500 * time.Millisecond
 )
 
 // Config configures a Node.
@@ -50,29 +52,29 @@
 	Clock    cardamompass.Clock
 	Log      *zap.Logger
 	Metrics  *metric.Metrics
-	// LinesDropped returns the number of log lines that were left out.
+	// LinesDropped returns the number of log lines that were dropped.
 	LinesDropped func() int64
 	// Incarnation distinguishes the runs of the process.
 	Incarnation cardamompass.Incarnation
 }
 
-// Node is the process of an entry VM.
+// Node is the running process of an entry VM.
 type Node struct {
-	cfg      Config
-	self     cardamompass.VM
-	follower *view.Follower
-	presence *presence
-	caster   *cast.Exchanger
-	balancer *place.Balancer
-	sender   *send.Sender
-	front    *front.Front
-	stopping atomic.Bool
-	cleanups []func()
-	servers  []*http.Server
-	serving  sync.WaitGroup
+	cfg       Config
+	self      cardamompass.VM
+	follower  *view.Follower
+	presence  *presence
+	exchanger *cast.Exchanger
+	balancer  *place.Balancer
+	sender    *send.Sender
+	front     *front.Front
+	stopping  atomic.Bool
+	cleanups  []func()
+	servers   []*http.Server
+	serving   sync.WaitGroup
 }
 
-// New starts the process and returns the function that ends it at once.
+// New starts the process and returns a function that stops it immediately.
 func New(cfg Config) (nod *Node, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "start the entry VM") }()
 	set := cfg.Settings
@@ -97,31 +99,31 @@
 		}),
 	}
 	scp := cfg.Metrics.Scope()
-	opened := scp.Counter("target-connections")
-	nod.sender = own(nod, func() (*send.Sender, func()) {
+	connections := scp.Counter("target-connections")
+	nod.sender = startComponent(nod, func() (*send.Sender, func()) {
 		return send.New(send.Config{
 			Protocol:  cfg.Protocol,
 			Clock:     cfg.Clock,
-			Dial:      send.Dialer(targetSilence),
-			OnConnect: func() { opened.Inc(1) },
+			Dial:      send.Dialer(targetAckTimeout),
+			OnConnect: func() { connections.Inc(1) },
 			Log:       cfg.Log,
 		})
 	})
-	nod.follower = own(nod, func() (*view.Follower, func()) {
+	nod.follower = startComponent(nod, func() (*view.Follower, func()) {
 		return view.New(view.Config{
 			Registry: cfg.Registry,
 			Clock:    cfg.Clock,
 			Log:      cfg.Log,
-			OnChange: nod.changed,
+			OnChange: nod.viewChanged,
 		})
 	})
-	nod.presence = own(nod, func() (*presence, func()) { return newPresence(nod) })
-	if err = nod.exchange(); err != nil {
+	nod.presence = startComponent(nod, func() (*presence, func()) { return newPresence(nod) })
+	if err = nod.startExchanger(); err != nil {
 		nod.close()
 		return nil, nil, err
 	}
-	reports := own(nod, func() (*reporter, func()) { return newReporter(cfg) })
-	nod.front = own(nod, func() (*front.Front, func()) {
+	reports := startComponent(nod, func() (*reporter, func()) { return newReporter(cfg) })
+	nod.front = startComponent(nod, func() (*front.Front, func()) {
 		return front.New(front.Config{
 			Settings: set,
 			Protocol: cfg.Protocol,
@@ -132,55 +134,55 @@
 			Sender:   nod.sender,
 			View:     nod.follower.View,
 			StoreAge: nod.follower.StoreAge,
-			OnLoad:   nod.caster.RecordLoad,
+			OnLoad:   nod.exchanger.RecordLoad,
 			OnCrash:  reports.crashed,
-			Dial:     send.Dialer(targetSilence),
+			Dial:     send.Dialer(targetAckTimeout),
 		})
 	})
-	nod.awaitTable()
+	nod.waitForTable()
 	if err = nod.listen(); err != nil {
 		nod.close()
 		return nil, nil, err
 	}
-	nod.every(trimInterval, nod.trim)
-	nod.every(censusInterval, func() { nod.balancer.SetRunningVMs(len(nod.caster.Running())+1, cfg.Clock.Now()) })
-	nod.every(gaugeInterval, func() { nod.gauges(scp) })
+	nod.runEvery(pruneInterval, nod.pruneIdle)
+	nod.runEvery(vmCountInterval, func() { nod.balancer.SetRunningVMs(len(nod.exchanger.Running())+1, cfg.Clock.Now()) })
+	nod.runEvery(gaugeInterval, func() { nod.updateGauges(scp) })
 	return nod, nod.close, nil
 }
 
-// exchange starts the exchange of loads with the other VMs.
-func (nod *Node) exchange() (err error) {
+// startExchanger starts the exchange of load reports with the other VMs.
+func (nod *Node) startExchanger() (err error) {
 	cst, stop, err := cast.New(cast.Config{
 		Self:      nod.self,
 		ListedVMs: func() []cardamompass.VM { return nod.follower.View().VMs() },
-		OnReports: nod.heard,
+		OnReports: nod.recordReports,
 		Clock:     nod.cfg.Clock,
 		Log:       nod.cfg.Log,
 	})
 	if err != nil {
 		return err
 	}
-	nod.caster = cst
+	nod.exchanger = cst
 	nod.cleanups = append(nod.cleanups, stop)
 	return nil
 }
 
-func (nod *Node) heard(reports []cast.Report) {
+func (nod *Node) recordReports(reports []cast.Report) {
 	now := nod.cfg.Clock.Now()
 	for _, rpt := range reports {
 		nod.balancer.RecordPeerLoad(rpt.Instance, rpt.Load, rpt.Age, now)
 	}
 }
 
-// own registers the clean-up function of a part.
-func own[T any](nod *Node, start func() (T, func())) (part T) {
-	part, cleanup := start()
+// startComponent starts a component and registers its cleanup function.
+func startComponent[T any](nod *Node, start func() (T, func())) (component T) {
+	component, cleanup := start()
 	nod.cleanups = append(nod.cleanups, cleanup)
-	return part
+	return component
 }
 
-// every calls fun at an interval until the node is closed.
-func (nod *Node) every(interval time.Duration, fun func()) {
+// runEvery calls fun at an interval until the node is closed.
+func (nod *Node) runEvery(interval time.Duration, fun func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -202,13 +204,13 @@
 	})
 }
 
-// changed takes over a new view.
-func (nod *Node) changed(_, next *view.View) {
+// viewChanged applies a new view to the balancer.
+func (nod *Node) viewChanged(_, next *view.View) {
 	nod.balancer.Sync(next, nod.cfg.Clock.Now())
 }
 
-// trim closes idle connections that are too old or lead to targets that are gone.
-func (nod *Node) trim() {
+// pruneIdle closes idle connections that have expired or whose targets are leaving or removed.
+func (nod *Node) pruneIdle() {
 	vew := nod.follower.View()
 	nod.sender.PruneIdle(func(id cardamompass.InstanceID) bool {
 		ins, ok := vew.Instance(id)
@@ -216,8 +218,9 @@
 	})
 }
 
-// awaitTable waits a short time for the first routing table, because a caller that finds no listener uses another VM at once.
-func (nod *Node) awaitTable() {
+// waitForTable waits a short time for the first routing table before the listeners are opened, because a caller whose connection is
+// refused uses another VM at once.
+func (nod *Node) waitForTable() {
 	for end := nod.cfg.Clock.Now().Add(firstTableWait); nod.follower.View().Table == nil && nod.cfg.Clock.Now().Before(end); {
 		tmr := nod.cfg.Clock.NewTimer(firstTablePoll)
 		<-tmr.C()
@@ -229,15 +232,15 @@
 	lookups := direct.New(direct.Config{
 		Self:     nod.self,
 		Protocol: nod.cfg.Protocol,
-		Others:   nod.caster.OtherVMs,
+		OtherVMs: nod.exchanger.OtherVMs,
 		Stopping: nod.stopping.Load,
 		MaxTTL:   set.MaxLookupTTL,
 		Log:      nod.cfg.Log,
 	})
 	lookupRoutes, readyRoutes, metricRoutes := mux.NewRouter(), mux.NewRouter(), mux.NewRouter()
 	lookupRoutes.Handle(nod.cfg.Protocol.LookupPath(), lookups).Methods(http.MethodGet)
-	readyRoutes.HandleFunc(nod.cfg.Protocol.ReadyPath(), nod.ready).Methods(http.MethodGet)
-	metricRoutes.HandleFunc("/state", nod.dump).Methods(http.MethodGet)
+	readyRoutes.HandleFunc(nod.cfg.Protocol.ReadyPath(), nod.serveReady).Methods(http.MethodGet)
+	metricRoutes.HandleFunc("/state", nod.serveState).Methods(http.MethodGet)
 	metricRoutes.Handle("/metrics", nod.cfg.Metrics.Handler()).Methods(http.MethodGet)
 	for _, lst := range []struct {
 		address string
@@ -279,7 +282,7 @@
 	return nil
 }
 
-// limits returns the limits of callers as they are when the listeners open; later ones hold from the next start.
+// limits returns the caller limits at the time when the listeners are opened. Later changes take effect at the next start.
 func (nod *Node) limits() (lim cardamompass.CallerLimits) {
 	if tbl := nod.follower.View().Table; tbl != nil {
 		lim = tbl.Limits
@@ -290,8 +293,8 @@
 	return lim
 }
 
-// ready says whether callers should be sent here.
-func (nod *Node) ready(wrt http.ResponseWriter, _ *http.Request) {
+// serveReady responds whether callers should be sent to this VM.
+func (nod *Node) serveReady(wrt http.ResponseWriter, _ *http.Request) {
 	if nod.stopping.Load() || nod.follower.View().Table == nil {
 		wrt.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -299,10 +302,10 @@
 	wrt.WriteHeader(http.StatusOK)
 }
 
-// close ends the process at once.
+// close stops the process immediately.
 func (nod *Node) close() {
 	for _, srv := range nod.servers {
-		_ = srv.Close() // ends the connections; nothing is left to report
+		_ = srv.Close() // closes the connections; its error has no consequence
 	}
 	nod.serving.Wait()
 	for num := len(nod.cleanups) - 1; num >= 0; num-- {
--- a/internal/edge/node/presence.go
+++ b/internal/edge/node/presence.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// leaseTTL is how long the entry of a VM stays after its last renewal. A dead VM is named in look-ups for that long.
+	// leaseTTL is how long the entry of a VM remains after its last renewal. Look-ups return a VM that has died for that long.
 	leaseTTL = 3 * time.Second
-	// renewInterval allows one renewal to be lost.
+	// renewInterval is short enough that one renewal may be lost.
 	renewInterval = time.Second
 )
 
-// presence keeps the entry of the VM in the store while it serves.
+// presence keeps the VM's entry in the store while the VM serves.
 type presence struct {
 	nod    *Node
 	lease  int64
-	ctx    context.Context //nolint:containedctx // ends the calls under way when the VM withdraws
+	ctx    context.Context //nolint:containedctx // cancels calls in progress when the entry is withdrawn
 	cancel context.CancelFunc
 	done   chan struct{}
 }
@@ -46,8 +46,8 @@
 	<-prs.done
 }
 
-// missing reports whether the store no longer has the entry, as far as this VM has followed its changes.
-func (prs *presence) missing() (ok bool) {
+// entryMissing reports whether the entry is missing from the latest view of the store that this VM has.
+func (prs *presence) entryMissing() (ok bool) {
 	vmc, ok := prs.nod.follower.View().VM(prs.nod.self.ID)
 	return !ok || vmc.Incarnation != prs.nod.self.Incarnation
 }
@@ -63,7 +63,7 @@
 		} else {
 			err = prs.announce()
 		}
-		prs.note(announced, err)
+		prs.logResult(announced, err)
 		var gone *cardamompass.NotFoundError
 		if err == nil {
 			announced = true
@@ -77,12 +77,12 @@
 		select {
 		case <-prs.ctx.Done():
 		case <-tck.C:
-			announced = announced && !prs.missing()
+			announced = announced && !prs.entryMissing()
 		}
 	}
 }
 
-func (prs *presence) note(announced bool, err error) {
+func (prs *presence) logResult(announced bool, err error) {
 	switch {
 	case err != nil && prs.ctx.Err() == nil:
 		prs.nod.cfg.Log.Warn("presence not confirmed", zap.Error(err), zap.Int64("lease", prs.lease))
@@ -105,7 +105,7 @@
 
 func (prs *presence) renew() (err error) { return prs.nod.cfg.Registry.Renew(prs.ctx, prs.lease) }
 
-// withdraw removes the entry.
+// withdraw removes the entry from the store.
 func (prs *presence) withdraw(ctx context.Context) {
 	prs.stop()
 	if prs.lease == 0 {
--- a/internal/edge/node/report.go
+++ b/internal/edge/node/report.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// crashMemory is how long a crash is known to all VMs. A caller comes again with the same content within seconds.
-	crashMemory = time.Minute
-	// queuedCrashes bounds the crashes that wait to be reported; further ones are left to the other VMs.
-	queuedCrashes = 32
+	// crashTTL is how long a crash report stays in the store. A caller sends the same content again within seconds.
+	crashTTL = time.Minute
+	// maxQueuedCrashes bounds the queue of crashes to report. Further ones are dropped; other VMs may report them.
+	maxQueuedCrashes = 32
 )
 
-// reporter tells the other VMs of crashes.
+// reporter reports crashes to the other VMs through the store.
 type reporter struct {
 	cfg     Config
 	crashes chan cardamompass.Crash
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	rpt = &reporter{
 		cfg:     cfg,
-		crashes: make(chan cardamompass.Crash, queuedCrashes),
+		crashes: make(chan cardamompass.Crash, maxQueuedCrashes),
 	}
 	done := make(chan struct{})
 	go func() {
@@ -44,7 +44,7 @@
 	select {
 	case rpt.crashes <- crs:
 	default:
-		rpt.cfg.Log.Warn("crash not reported", zap.String("instance", string(crs.Instance)), zap.String("reason", "too many at once"))
+		rpt.cfg.Log.Warn("crash not reported", zap.String("instance", string(crs.Instance)), zap.String("reason", "report queue full"))
 	}
 }
 
@@ -62,7 +62,7 @@
 }
 
 func (rpt *reporter) report(ctx context.Context, crs cardamompass.Crash) (err error) {
-	lease, err := rpt.cfg.Registry.Grant(ctx, crashMemory)
+	lease, err := rpt.cfg.Registry.Grant(ctx, crashTTL)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/node/state.go
+++ b/internal/edge/node/state.go
@@ -12,37 +12,37 @@
 	"cardamompass/internal/steer/place"
 )
 
-// gaugeInterval is the time between two updates of the gauges.
+// gaugeInterval is the interval at which the gauges are updated.
 const gaugeInterval = time.Second
 
-// gauges set the metrics that are read off the state.
-func (nod *Node) gauges(scp tally.Scope) {
+// updateGauges updates the gauges from the current state.
+func (nod *Node) updateGauges(scp tally.Scope) {
 	vew := nod.follower.View()
 	if vew.Table != nil {
 		scp.Gauge("table-version").Update(float64(vew.Table.Version))
 	}
 	scp.Gauge("store-age-seconds").Update(nod.follower.StoreAge().Seconds())
-	scp.Gauge("running-vms").Update(float64(len(nod.caster.OtherVMs()) + 1))
+	scp.Gauge("running-vms").Update(float64(len(nod.exchanger.OtherVMs()) + 1))
 	scp.Gauge("targets").Update(float64(len(vew.All())))
 	scp.Gauge("idle-connections").Update(float64(nod.sender.IdleCount()))
 	scp.Gauge("active-requests").Update(float64(nod.front.Active()))
 	scp.Gauge("log-lines-dropped").Update(float64(nod.cfg.LinesDropped()))
 }
 
-// state is the dump of the process.
+// state is the state dump of the process.
 type state struct {
 	VM           cardamompass.VMID   `json:"vm"`
 	Stopping     bool                `json:"stopping"`
 	TableVersion uint64              `json:"table-version"`
 	Revision     int64               `json:"store-revision"`
-	StoreAge     float64             `json:"store-age"` // seconds; negative if the store never answered
+	StoreAge     float64             `json:"store-age"` // seconds; negative if the store has never responded
 	Active       int                 `json:"active-requests"`
 	Running      []cardamompass.VMID `json:"other-vms"`
 	Balancer     place.Dump          `json:"board"`
 }
 
-// dump writes the state of the process as JSON.
-func (nod *Node) dump(wrt http.ResponseWriter, _ *http.Request) {
+// serveState writes the state of the process as JSON.
+func (nod *Node) serveState(wrt http.ResponseWriter, _ *http.Request) {
 	vew := nod.follower.View()
 	sta := state{
 		VM:       nod.self.ID,
@@ -55,11 +55,11 @@
 	if vew.Table != nil {
 		sta.TableVersion = vew.Table.Version
 	}
-	for _, vmc := range nod.caster.OtherVMs() {
+	for _, vmc := range nod.exchanger.OtherVMs() {
 		sta.Running = append(sta.Running, vmc.ID)
 	}
 	wrt.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(wrt).Encode(sta); err != nil {
-		nod.cfg.Log.Info("state not written", zap.Error(err))
+		nod.cfg.Log.Info("state dump not written", zap.Error(err))
 	}
 }
--- a/internal/edge/node/stop.go
+++ b/internal/edge/node/stop.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// acceptAfterStop is how long new requests are accepted after the begin of a planned stop; callers look up again within that time.
-	acceptAfterStop = 3 * time.Second
-	// leastStop is how long the VM stays at least, for callers that keep an answer to a look-up.
-	leastStop = 2500 * time.Millisecond
-	// stopMargin is the time before the end of the grace time at which the process ends whatever is under way.
+	// stopAcceptTime is how long new requests are accepted after a planned stop begins. Callers repeat their look-ups within that
+	// time.
+	stopAcceptTime = 3 * time.Second
+	// minStopTime is the minimum duration of a planned stop, for callers that still use an earlier look-up response.
+	minStopTime = 2500 * time.Millisecond
+	// stopMargin is how long before the end of the grace time the process ends, even if requests are in progress.
 	stopMargin = 400 * time.Millisecond
-	// stopPoll is the time between two looks whether requests are under way.
-	stopPoll = 50 * time.Millisecond
-	// withdrawLimit bounds the call that removes the VM's entry.
-	withdrawLimit = time.Second
+	// stopPollInterval is the interval at which the number of active requests is checked.
+	stopPollInterval = 50 * time.Millisecond
+	// withdrawTimeout bounds the call that removes the VM's entry.
+	withdrawTimeout = time.Second
 )
 
-// Stop carries out a planned stop: the VM is no longer named, serves what callers still send, and returns when nothing is under way.
+// Stop carries out a planned stop: look-ups no longer return the VM, it serves the requests that callers still send, and Stop
+// returns when no request is active or the grace time ends.
 func (nod *Node) Stop() {
 	begin := nod.cfg.Clock.Now()
 	nod.stopping.Store(true)
 	nod.front.Drain()
-	nod.caster.AnnounceStop()
+	nod.exchanger.AnnounceStop()
 	nod.cfg.Log.Info("stop begins", zap.Int("active", nod.front.Active()))
 	var withdrawn sync.WaitGroup
 	withdrawn.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), withdrawLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 		defer cancel()
 		nod.presence.withdraw(ctx)
 	})
 	last := nod.cfg.Settings.GraceTime - stopMargin
 	for {
 		ela := nod.cfg.Clock.Now().Sub(begin)
-		if ela >= acceptAfterStop {
+		if ela >= stopAcceptTime {
 			nod.front.Refuse()
 		}
-		if ela >= last || (ela >= leastStop && nod.front.Active() == 0) {
+		if ela >= last || (ela >= minStopTime && nod.front.Active() == 0) {
 			break
 		}
-		tmr := nod.cfg.Clock.NewTimer(stopPoll)
+		tmr := nod.cfg.Clock.NewTimer(stopPollInterval)
 		<-tmr.C()
 	}
 	nod.shutdown(max(stopMargin/2, last-nod.cfg.Clock.Now().Sub(begin)))
@@ -52,19 +54,19 @@
 	nod.cfg.Log.Info("stop ends", zap.Int("active", nod.front.Active()), zap.Duration("took", nod.cfg.Clock.Now().Sub(begin)))
 }
 
-// shutdown closes the listeners and idle connections and waits for requests that crossed that.
+// shutdown closes the listeners and idle connections and waits for requests that arrived in the meantime.
 func (nod *Node) shutdown(limit time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, srv := range nod.servers {
-		all.Go(func() { nod.shutServer(ctx, srv) })
+		all.Go(func() { nod.shutdownServer(ctx, srv) })
 	}
 	all.Wait()
 }
 
-func (nod *Node) shutServer(ctx context.Context, srv *http.Server) {
+func (nod *Node) shutdownServer(ctx context.Context, srv *http.Server) {
 	if err := srv.Shutdown(ctx); err != nil {
-		nod.cfg.Log.Warn("connections cut at the end of the grace time", zap.Error(err))
+		nod.cfg.Log.Warn("connections closed at the end of the grace time", zap.Error(err))
 	}
 }
