--- a/internal/fleet/spread/agent.go
+++ b/internal/fleet/spread/agent.go
@@ -13,13 +13,13 @@
 	"cardamompass/internal/fleet/member"
 )
 
-// Names of the rpc methods and of the payload on probes.
+// Names of the RPC methods and of the payload on probes.
 const (
 	// ServiceName is the name under which Agent.Service is registered at the peer server.
 	ServiceName = "Spread"
 	methodPush  = ServiceName + ".Push"
 	methodPull  = ServiceName + ".Pull"
-	// payloadName is short because it travels on each probe.
+	// payloadName is short because it is sent with every probe.
 	payloadName = "s"
 )
 
@@ -27,11 +27,11 @@
 	// pushTimeout and pullTimeout bound the calls between peers. A pull may carry a whole document.
 	pushTimeout = 2 * time.Second
 	pullTimeout = 5 * time.Second
-	// storeTimeout bounds a call of the store, on top of the wait of a watch.
+	// storeTimeout bounds a call of the store, in addition to the wait of a watch.
 	storeTimeout = 5 * time.Second
 )
 
-// Membership is the part of the membership that dissemination needs.
+// Membership is the interface to the membership.
 type Membership interface {
 	cardamompass.Membership
 	// Subscribe returns a channel that receives a value after members have changed.
@@ -50,13 +50,13 @@
 	Caller cardamompass.PeerCaller
 	// Members is the membership.
 	Members Membership
-	// Clock tells the time. Optional.
+	// Clock is the time source. Optional.
 	Clock cardamompass.Clock
-	// Logger receives failures and changes. Optional.
+	// Logger logs failures and changes. Optional.
 	Logger *zap.Logger
 }
 
-// Agent is this VM's part in the dissemination of one document. It is safe for concurrent use.
+// Agent runs the dissemination of one document on one VM. It is safe for concurrent use.
 type Agent[D Doc[D]] struct {
 	cfg Config[D]
 
@@ -69,15 +69,16 @@
 
 	current atomic.Pointer[D]
 	summary atomic.Pointer[Summary]
-	wake    chan struct{}
+	wakeup  chan struct{}
 	end     chan struct{}
 	callCtx func(timeout time.Duration) (ctx context.Context, cancel context.CancelFunc)
 	cancel  context.CancelFunc
 	wgr     sync.WaitGroup
 }
 
-// New returns an agent that answers other VMs but does nothing of its own before Start. Attach the result of Carrier to
-// the membership. The clean-up function ends running calls and waits for them. Errors: InvalidError.
+// New returns an agent that replies to other VMs but calls neither the store nor other VMs on its own before Start. Attach
+// the result of PayloadHandler to the membership. The stop function cancels running calls and waits for them.
+// Errors: InvalidError.
 func New[D Doc[D]](cfg Config[D]) (agt *Agent[D], stop func(), err error) {
 	if cfg.Store == nil || cfg.Caller == nil || cfg.Members == nil || cfg.Core.Key == "" ||
 		cfg.Core.Codec.Encode == nil || cfg.Core.Codec.Decode == nil {
@@ -100,7 +101,7 @@
 		cor:       NewCore(cfg.Core),
 		subs:      map[chan struct{}]struct{}{},
 		stopWatch: func() {},
-		wake:      make(chan struct{}, 1),
+		wakeup:    make(chan struct{}, 1),
 		end:       make(chan struct{}),
 		cancel:    cancel,
 	}
@@ -112,7 +113,7 @@
 	return agt, agt.stop, nil
 }
 
-// Current returns the document in force; ok is false while there is none. It never waits.
+// Current returns the document in force; ok is false while there is none. It never blocks.
 func (agt *Agent[D]) Current() (doc D, ok bool) {
 	ptr := agt.current.Load()
 	if ptr == nil {
@@ -121,8 +122,8 @@
 	return *ptr, true
 }
 
-// Subscribe returns a channel that receives a value after the document in force has changed; several changes may give
-// one value. Cancel ends the subscription.
+// Subscribe returns a channel that receives a value after the document in force has changed; several changes may be
+// combined into one value. Cancel ends the subscription.
 func (agt *Agent[D]) Subscribe() (changes <-chan struct{}, cancel func()) {
 	sub := make(chan struct{}, 1)
 	agt.mut.Lock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// Offer merges a whole document that this VM got in another way, such as the result of an accepted edit.
+// Offer merges a whole document that this VM obtained outside this package, such as the result of an accepted edit.
 func (agt *Agent[D]) Offer(doc D) {
 	agt.handle(Offered[D]{
 		Now: agt.cfg.Clock.Now(),
@@ -143,7 +144,7 @@
 	})
 }
 
-// PayloadHandler returns the payload for the membership's probes.
+// PayloadHandler returns the handler that exchanges summaries on the membership's probes.
 func (agt *Agent[D]) PayloadHandler() member.PayloadHandler {
 	return member.PayloadHandler{
 		Name:    payloadName,
@@ -162,7 +163,7 @@
 	}
 }
 
-// Start begins to call the store and follow the membership. Call it once.
+// Start starts calling the store and following the membership. Call it once.
 func (agt *Agent[D]) Start() {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
@@ -202,7 +203,7 @@
 			})
 		case <-changes:
 			agt.peersChanged()
-		case <-agt.wake:
+		case <-agt.wakeup:
 		case <-agt.end:
 			stopTimer()
 			return
@@ -231,23 +232,23 @@
 	agt.handle(evt)
 }
 
-// handle feeds one event to the core, publishes the result and starts the calls. It returns the effects.
+// handle applies one event to the core, executes the effects and returns them.
 func (agt *Agent[D]) handle(evt Event) (effects []Effect) {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
 	effects = agt.cor.Apply(evt)
 	for _, eff := range effects {
-		agt.carryOut(eff)
+		agt.execute(eff)
 	}
 	select {
-	case agt.wake <- struct{}{}:
+	case agt.wakeup <- struct{}{}:
 	default:
 	}
 	return effects
 }
 
-// carryOut is called with the lock held.
-func (agt *Agent[D]) carryOut(eff Effect) {
+// execute executes an effect. The caller holds agt.mut.
+func (agt *Agent[D]) execute(eff Effect) {
 	switch eff := eff.(type) {
 	case Changed:
 		agt.publish()
@@ -261,7 +262,7 @@
 		agt.spawn(func() {
 			defer cancel()
 			val, err := agt.cfg.Store.Watch(ctx, agt.cfg.Core.Key, eff.After, eff.Wait)
-			agt.read(eff.Call, val, err)
+			agt.readDone(eff.Call, val, err)
 		})
 	case StopWatch:
 		agt.stopWatch()
@@ -270,10 +271,10 @@
 			ctx, cancel := agt.callCtx(storeTimeout)
 			defer cancel()
 			val, err := agt.cfg.Store.Get(ctx, agt.cfg.Core.Key)
-			agt.read(eff.Call, val, err)
+			agt.readDone(eff.Call, val, err)
 		})
 	case Put:
-		agt.spawn(func() { agt.write(eff) })
+		agt.spawn(func() { agt.put(eff) })
 	case Rejected:
 		agt.cfg.Logger.Warn("document-rejected", zap.String("source", eff.Source), zap.Error(eff.Err))
 	}
@@ -309,7 +310,7 @@
 	return ""
 }
 
-func (agt *Agent[D]) read(call uint64, val cardamompass.Value, err error) {
+func (agt *Agent[D]) readDone(call uint64, val cardamompass.Value, err error) {
 	var missing *cardamompass.NotFoundError
 	evt := ReadDone{
 		Now:     agt.cfg.Clock.Now(),
@@ -324,7 +325,7 @@
 	agt.handle(evt)
 }
 
-func (agt *Agent[D]) write(eff Put) {
+func (agt *Agent[D]) put(eff Put) {
 	ctx, cancel := agt.callCtx(storeTimeout)
 	defer cancel()
 	val, err := agt.cfg.Store.Put(ctx, agt.cfg.Core.Key, eff.Data, eff.Revision)
--- a/internal/fleet/spread/calls.go
+++ b/internal/fleet/spread/calls.go
@@ -2,33 +2,33 @@
 
 import "go.uber.org/zap"
 
-// Service answers the calls of other VMs. Register it at the peer server under ServiceName.
+// Service handles the calls of other VMs. Register it at the peer server under ServiceName.
 type Service struct {
 	push func(args PushRequest) (rep PushReply)
 	pull func(args PullRequest) (rep PullReply)
 }
 
-// Service returns the receiver of the rpc methods.
+// Service returns the receiver of the RPC methods.
 func (agt *Agent[D]) Service() *Service {
 	return &Service{
-		push: agt.pushed,
-		pull: agt.pulled,
+		push: agt.handlePush,
+		pull: agt.handlePull,
 	}
 }
 
-// Push takes a change.
+// Push handles a change pushed by a peer.
 func (svc *Service) Push(args PushRequest, reply *PushReply) (err error) {
 	*reply = svc.push(args)
 	return nil
 }
 
-// Pull answers with what the caller lacks.
+// Pull replies with the part of the document that the requesting VM lacks.
 func (svc *Service) Pull(args PullRequest, reply *PullReply) (err error) {
 	*reply = svc.pull(args)
 	return nil
 }
 
-func (agt *Agent[D]) pushed(args PushRequest) (rep PushReply) {
+func (agt *Agent[D]) handlePush(args PushRequest) (rep PushReply) {
 	effects := agt.handle(PushReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Request: args,
@@ -41,7 +41,7 @@
 	return rep
 }
 
-func (agt *Agent[D]) pulled(args PullRequest) (rep PullReply) {
+func (agt *Agent[D]) handlePull(args PullRequest) (rep PullReply) {
 	effects := agt.handle(PullReceived{
 		Now:     agt.cfg.Clock.Now(),
 		Request: args,
--- a/internal/fleet/spread/core.go
+++ b/internal/fleet/spread/core.go
@@ -13,39 +13,40 @@
 
 // Defaults of CoreConfig.
 const (
-	// DefaultWatchers keeps a watcher in each of three failure domains most of the time, at three waiting calls.
+	// DefaultWatchers is enough for a watcher in each of three failure domains most of the time, at the cost of three
+	// waiting calls.
 	DefaultWatchers = 3
-	// DefaultFanout is the number of peers to which a VM pushes a change. With 4 the share of VMs that a push misses is
-	// about 2%; the exchange of summaries reaches them.
+	// DefaultFanout is the number of peers to which a VM pushes a change. With a fan-out of 4, a push misses about 2% of
+	// the VMs; these receive the change through the exchange of summaries.
 	DefaultFanout = 4
 	// DefaultWatchWait bounds one watch. It also bounds the time until a restoration of the store to an older revision
-	// is noticed, because a watch for a later revision does not end before.
+	// is detected, because a watch for a later revision does not return earlier.
 	DefaultWatchWait = 30 * time.Second
-	// DefaultStartDelay is the time for which a VM that starts waits for peers before its first call of the store.
+	// DefaultStartDelay is the time for which a starting VM waits for peers before its first call of the store.
 	DefaultStartDelay = time.Second
 	// DefaultGetDelay is the time for which a VM that does not watch waits for a peer with the document.
 	DefaultGetDelay = 3 * time.Second
-	// DefaultWriteDelay is the time between noticing that the store holds less and writing back. Each later watcher
-	// waits that much longer, so that usually one writes.
+	// DefaultWriteDelay is the time between detecting that the store lacks part of the document and writing it back. It is
+	// added once more for each rank of a watcher, so that usually only one watcher writes.
 	DefaultWriteDelay = 3 * time.Second
-	// DefaultWriteInterval is the least time between two writes of one VM.
+	// DefaultWriteInterval is the minimum time between two writes of one VM.
 	DefaultWriteInterval = 10 * time.Second
 )
 
 const (
-	// retryDelay is the first delay after a failed call of the store.
+	// retryDelay is the initial back-off after a failed call of the store.
 	retryDelay = 500 * time.Millisecond
-	// maxWatchDelay bounds the delay of the few watchers, so that edits are seen soon after an outage.
+	// maxWatchDelay bounds the back-off of the few watchers, so that edits are read soon after an outage.
 	maxWatchDelay = 5 * time.Second
-	// maxGetDelay bounds the delay of all other VMs, which together must stay far below the store's rate of reads.
+	// maxGetDelay bounds the back-off of all other VMs, which together must stay far below the store's limit on reads.
 	maxGetDelay = 30 * time.Second
-	// missingDelay is the time between two watches of a key that does not exist.
-	missingDelay = time.Second
-	// watchGap is the least time between two watches, so that a store that answers watches at once is not flooded.
-	watchGap = 200 * time.Millisecond
-	// pullPatience is the time after which a pull may be started beside one that has not ended.
-	pullPatience = time.Second
-	// maxPushBytes bounds a change that is sent unasked. VMs receive several copies of a push, but pull only once.
+	// missingKeyDelay is the time between two watches of a key that does not exist.
+	missingKeyDelay = time.Second
+	// minWatchGap is the time between two watches. It limits the call rate if the store returns from watches at once.
+	minWatchGap = 200 * time.Millisecond
+	// pullOverlapDelay is the time after which another pull may be started while one is still running.
+	pullOverlapDelay = time.Second
+	// maxPushBytes bounds the data of a push. A VM receives several copies of a push but pulls only once.
 	maxPushBytes = 64 << 10
 )
 
@@ -57,7 +58,7 @@
 	Key string
 	// Codec converts documents.
 	Codec Codec[D]
-	// RandomSeed determines all random choices.
+	// RandomSeed is the seed of the random number generator.
 	RandomSeed int64
 	// Start is the time at which the core starts.
 	Start time.Time
@@ -67,7 +68,7 @@
 	Fanout int
 	// WatchWait bounds one watch.
 	WatchWait time.Duration
-	// StartDelay, GetDelay, WriteDelay and WriteInterval are explained at their defaults.
+	// StartDelay, GetDelay, WriteDelay and WriteInterval are described at their defaults.
 	StartDelay    time.Duration
 	GetDelay      time.Duration
 	WriteDelay    time.Duration
@@ -97,30 +98,30 @@
 
 // Core is the state machine of the dissemination. It is not safe for concurrent use.
 type Core[D Doc[D]] struct {
-	cfg   CoreConfig[D]
-	rng   *rand.Rand
-	doc   D
-	sum   Summary // of doc; zero while there is none
-	peers []cardamompass.VMID
-	rank  int // place among the watchers, -1 for none
-	// pulling is the start of the running pull, zero without one.
-	pulling time.Time
-	encoded []byte // of doc, nil if not yet needed
-	src     source
-	effects []Effect
+	cfg         CoreConfig[D]
+	rng         *rand.Rand
+	doc         D
+	sum         Summary // of doc; zero while there is none
+	peers       []cardamompass.VMID
+	watcherRank int // rank among the watchers, -1 if not a watcher
+	// pullStart is the start time of the running pull, zero if there is none.
+	pullStart time.Time
+	encoded   []byte // encoding of doc, nil until needed
+	store     storeState
+	effects   []Effect
 }
 
 // NewCore returns the core of a VM without a document.
 func NewCore[D Doc[D]](cfg CoreConfig[D]) *Core[D] {
 	cfg = cfg.withDefaults()
 	cor := &Core[D]{
-		cfg:  cfg,
-		rng:  rand.New(rand.NewSource(cfg.RandomSeed)),
-		rank: -1,
+		cfg:         cfg,
+		rng:         rand.New(rand.NewSource(cfg.RandomSeed)),
+		watcherRank: -1,
 	}
-	cor.src.watchAt = cfg.Start.Add(cor.jitter(cfg.StartDelay))
-	cor.src.getAt = cfg.Start.Add(cor.jitter(cfg.GetDelay))
-	cor.rerank(nil, false)
+	cor.store.watchAt = cfg.Start.Add(cor.jitter(cfg.StartDelay))
+	cor.store.getAt = cfg.Start.Add(cor.jitter(cfg.GetDelay))
+	cor.updateRank(nil, false)
 	return cor
 }
 
@@ -130,7 +131,7 @@
 // Summary returns the summary of the document in force.
 func (cor *Core[D]) Summary() Summary { return cor.sum }
 
-// Apply changes the state by one event and returns what the driver has to do.
+// Apply processes one event and returns the effects that the driver has to execute.
 func (cor *Core[D]) Apply(evt Event) (effects []Effect) {
 	now := evt.at()
 	cor.effects = nil
@@ -140,21 +141,21 @@
 	case PeersChanged:
 		cor.peersChanged(evt)
 	case Offered[D]:
-		cor.learn(evt.Doc)
+		cor.mergeDoc(evt.Doc)
 	case PushReceived:
-		cor.pushed(evt, now)
+		cor.pushReceived(evt, now)
 	case PullReceived:
 		cor.emit(PullAnswer{
-			Reply: cor.answer(evt.Request),
+			Reply: cor.pullReply(evt.Request),
 		})
 	case SummaryReceived:
-		cor.compare(evt.From, evt.Summary, now)
+		cor.compareSummary(evt.From, evt.Summary, now)
 	case PullDone:
-		cor.pulled(evt, now)
+		cor.pullDone(evt, now)
 	case ReadDone:
-		cor.read(evt, now)
+		cor.readDone(evt, now)
 	case WriteDone:
-		cor.written(evt, now)
+		cor.writeDone(evt, now)
 	}
 	effects, cor.effects = cor.effects, nil
 	return effects
@@ -162,13 +163,13 @@
 
 func (cor *Core[D]) emit(eff Effect) { cor.effects = append(cor.effects, eff) }
 
-// jitter returns a random time between half of dur and one and a half times dur.
+// jitter returns a random duration between 0.5 and 1.5 times dur.
 func (cor *Core[D]) jitter(dur time.Duration) time.Duration {
 	return dur/2 + time.Duration(cor.rng.Int63n(int64(dur)+1))
 }
 
-// learn merges a document into the one in force and pushes what is new.
-func (cor *Core[D]) learn(doc D) (changed bool) {
+// mergeDoc merges a document into the one in force and pushes the change.
+func (cor *Core[D]) mergeDoc(doc D) (changed bool) {
 	had := cor.sum
 	merged := doc
 	if had.Version > 0 {
@@ -183,7 +184,7 @@
 	}
 	cor.doc, cor.sum, cor.encoded = merged, sum, nil
 	cor.emit(Changed{})
-	// The first document a VM gets is usually known to its peers; those without it ask for it.
+	// The peers usually already have the first document that a VM receives; those without it pull it.
 	if had.Version > 0 {
 		cor.push(had.Version)
 	}
@@ -217,12 +218,12 @@
 	}
 }
 
-func (cor *Core[D]) pushed(evt PushReceived, now time.Time) {
+func (cor *Core[D]) pushReceived(evt PushReceived, now time.Time) {
 	req := evt.Request
 	if len(req.Data) > 0 && cor.sum.Version > 0 && cor.sum.Version >= req.Base && cor.sum != req.Summary {
-		cor.decode("push", req.Data)
+		cor.mergeData("push", req.Data)
 	}
-	cor.compare(req.From, req.Summary, now)
+	cor.compareSummary(req.From, req.Summary, now)
 	cor.emit(PushAnswer{
 		Reply: PushReply{
 			Summary: cor.sum,
@@ -230,8 +231,8 @@
 	})
 }
 
-// decode merges received data.
-func (cor *Core[D]) decode(source string, data []byte) (ok bool) {
+// mergeData decodes and merges received data.
+func (cor *Core[D]) mergeData(source string, data []byte) (ok bool) {
 	doc, err := cor.cfg.Codec.Decode(data)
 	if err != nil {
 		cor.emit(Rejected{
@@ -240,13 +241,14 @@
 		})
 		return false
 	}
-	cor.learn(doc)
+	cor.mergeDoc(doc)
 	return true
 }
 
-// compare pulls from a peer that may have more. A peer with a lower version pulls from this VM first; if it has
-// something of its own, the merge gives it a version that makes this VM pull in turn.
-func (cor *Core[D]) compare(from cardamompass.VMID, sum Summary, now time.Time) {
+// compareSummary pulls from a peer whose document may contain edits that this VM lacks. A peer with a lower version pulls
+// from this VM first; if it has edits that this VM lacks, its merged document gets a version and digest for which this VM
+// pulls in turn.
+func (cor *Core[D]) compareSummary(from cardamompass.VMID, sum Summary, now time.Time) {
 	if sum.Version == 0 || sum.Digest == cor.sum.Digest || sum.Version < cor.sum.Version {
 		return
 	}
@@ -254,10 +256,10 @@
 }
 
 func (cor *Core[D]) pull(from cardamompass.VMID, full bool, now time.Time) {
-	if !cor.pulling.IsZero() && now.Sub(cor.pulling) < pullPatience {
+	if !cor.pullStart.IsZero() && now.Sub(cor.pullStart) < pullOverlapDelay {
 		return
 	}
-	cor.pulling = now
+	cor.pullStart = now
 	cor.emit(Pull{
 		To: from,
 		Request: PullRequest{
@@ -267,7 +269,7 @@
 	})
 }
 
-func (cor *Core[D]) answer(req PullRequest) (rep PullReply) {
+func (cor *Core[D]) pullReply(req PullRequest) (rep PullReply) {
 	rep.Summary = cor.sum
 	if cor.sum.Version == 0 || cor.sum.Digest == req.Summary.Digest {
 		return rep
@@ -277,7 +279,7 @@
 		rep.Data, err = cor.cfg.Codec.Encode(cor.doc.Delta(req.Summary.Version))
 	} else {
 		rep.Whole = true
-		rep.Data, err = cor.whole()
+		rep.Data, err = cor.encodedDoc()
 	}
 	if err != nil {
 		cor.emit(Rejected{
@@ -288,16 +290,16 @@
 	return rep
 }
 
-// whole returns the encoded document in force.
-func (cor *Core[D]) whole() (data []byte, err error) {
+// encodedDoc returns the encoded document in force.
+func (cor *Core[D]) encodedDoc() (data []byte, err error) {
 	if cor.encoded == nil {
 		cor.encoded, err = cor.cfg.Codec.Encode(cor.doc)
 	}
 	return cor.encoded, err
 }
 
-func (cor *Core[D]) pulled(evt PullDone, now time.Time) {
-	cor.pulling = time.Time{}
+func (cor *Core[D]) pullDone(evt PullDone, now time.Time) {
+	cor.pullStart = time.Time{}
 	rep := evt.Reply
 	if rep == nil || len(rep.Data) == 0 {
 		return
@@ -305,10 +307,10 @@
 	if !rep.Whole && cor.sum.Version == 0 {
 		return
 	}
-	if !cor.decode("pull", rep.Data) {
+	if !cor.mergeData("pull", rep.Data) {
 		return
 	}
-	// Documents whose versions were edited apart need the whole to become equal.
+	// Documents that were edited independently become equal only by merging a whole document.
 	if cor.sum.Digest != rep.Summary.Digest && !rep.Whole {
 		cor.pull(evt.From, true, now)
 	}
@@ -317,22 +319,22 @@
 func (cor *Core[D]) peersChanged(evt PeersChanged) {
 	cor.peers = slices.Clone(evt.Serving)
 	slices.Sort(cor.peers)
-	cor.rerank(cor.peers, evt.Leaving)
+	cor.updateRank(cor.peers, evt.Leaving)
 }
 
-// rerank finds this VM's place among the watchers.
-func (cor *Core[D]) rerank(peers []cardamompass.VMID, leaving bool) {
-	before := cor.rank
-	cor.rank = -1
+// updateRank updates this VM's rank among the watchers.
+func (cor *Core[D]) updateRank(peers []cardamompass.VMID, leaving bool) {
+	before := cor.watcherRank
+	cor.watcherRank = -1
 	if !leaving {
 		names := []string{string(cor.cfg.Self)}
 		for _, vid := range peers {
 			names = append(names, string(vid))
 		}
-		cor.rank = slices.Index(TopRanked(cor.cfg.Key, names, cor.cfg.Watchers), string(cor.cfg.Self))
+		cor.watcherRank = slices.Index(TopRanked(cor.cfg.Key, names, cor.cfg.Watchers), string(cor.cfg.Self))
 	}
-	if before >= 0 && cor.rank < 0 {
-		cor.src.stop()
+	if before >= 0 && cor.watcherRank < 0 {
+		cor.store.reset()
 		cor.emit(StopWatch{})
 	}
 }
@@ -341,7 +343,7 @@
 func TopRanked(key string, names []string, cnt int) (first []string) {
 	rest := slices.Clone(names)
 	for range min(cnt, len(names)) {
-		// A new table each time, because the library's Remove panics for the last name of its table.
+		// A new table is created each time, because Remove of the library panics for the last name of its table.
 		name := rendezvous.New(rest, xxhash.Sum64String).Lookup(key)
 		first = append(first, name)
 		num := slices.Index(rest, name)
--- a/internal/fleet/spread/event.go
+++ b/internal/fleet/spread/event.go
@@ -9,23 +9,23 @@
 // Event is an input of Core.Apply.
 type Event interface{ at() time.Time }
 
-// Tick tells that time has passed. The driver sends it at the time that Core.Next returned.
+// Tick reports that time has passed. The driver applies it at the time that Core.Next returned.
 type Tick struct {
 	// Now is the current time.
 	Now time.Time
 }
 
-// PeersChanged tells which VMs serve.
+// PeersChanged reports the VMs that serve.
 type PeersChanged struct {
 	// Now is the current time.
 	Now time.Time
-	// Serving are the VMs that serve and are not leaving, without this one.
+	// Serving are the other VMs that serve and are not leaving.
 	Serving []cardamompass.VMID
-	// Leaving is set when this VM leaves.
+	// Leaving is set when this VM is leaving or has left.
 	Leaving bool
 }
 
-// Offered is a document that this VM got outside this package, such as the result of an edit.
+// Offered is a document that this VM obtained outside this package, such as the result of an edit.
 type Offered[D any] struct {
 	// Now is the current time.
 	Now time.Time
@@ -33,7 +33,7 @@
 	Doc D
 }
 
-// PushReceived is a push from a peer. It has a PushAnswer effect.
+// PushReceived is a push from a peer. It causes a PushAnswer effect.
 type PushReceived struct {
 	// Now is the current time.
 	Now time.Time
@@ -41,7 +41,7 @@
 	Request PushRequest
 }
 
-// PullReceived is a pull from a peer. It has a PullAnswer effect.
+// PullReceived is a pull from a peer. It causes a PullAnswer effect.
 type PullReceived struct {
 	// Now is the current time.
 	Now time.Time
@@ -65,9 +65,9 @@
 	Now time.Time
 	// From is the peer.
 	From cardamompass.VMID
-	// Full is set when the whole document was asked for.
+	// Full is set when the whole document was requested.
 	Full bool
-	// Reply is the answer, nil when the call failed.
+	// Reply is the reply, nil if the call failed.
 	Reply *PullReply
 }
 
@@ -75,13 +75,13 @@
 type ReadDone struct {
 	// Now is the current time.
 	Now time.Time
-	// Call is the number in the effect.
+	// Call is the number of the call in the effect.
 	Call uint64
-	// Value is the answer, valid when Err is nil.
+	// Value is the value that was read, valid if neither Missing nor Failed is set.
 	Value cardamompass.Value
-	// Missing is set when the store answered that the key does not exist.
+	// Missing is set when the store reported that the key does not exist.
 	Missing bool
-	// Failed is set when the store did not answer.
+	// Failed is set when the call failed for another reason.
 	Failed bool
 }
 
@@ -91,7 +91,7 @@
 	Now time.Time
 	// Digest is the digest of the document that was to be written.
 	Digest uint64
-	// Revision is the revision of the write, 0 when it failed or its outcome is unknown.
+	// Revision is the revision of the write, 0 if the write failed or its outcome is unknown.
 	Revision int64
 }
 
@@ -108,7 +108,7 @@
 // Effect is an output of Core.Apply.
 type Effect interface{ effect() }
 
-// Push asks the driver to push a change. The answer's summary is reported as SummaryArrived.
+// Push requests the driver to push a change and to report the summary in the reply as SummaryReceived.
 type Push struct {
 	// To is the peer.
 	To cardamompass.VMID
@@ -116,7 +116,7 @@
 	Request PushRequest
 }
 
-// Pull asks the driver to pull from a peer and to report Pulled.
+// Pull requests the driver to pull from a peer and to report PullDone.
 type Pull struct {
 	// To is the peer.
 	To cardamompass.VMID
@@ -124,21 +124,21 @@
 	Request PullRequest
 }
 
-// PushAnswer is the answer to PushArrived.
+// PushAnswer is the reply to the push of PushReceived.
 type PushAnswer struct {
-	// Reply is the answer.
+	// Reply is the reply to send.
 	Reply PushReply
 }
 
-// PullAnswer is the answer to PullArrived.
+// PullAnswer is the reply to the pull of PullReceived.
 type PullAnswer struct {
-	// Reply is the answer.
+	// Reply is the reply to send.
 	Reply PullReply
 }
 
-// Watch asks the driver to wait for a revision after After and to report Read.
+// Watch requests the driver to wait for a revision greater than After and to report ReadDone.
 type Watch struct {
-	// Call numbers the call.
+	// Call is the number of the call.
 	Call uint64
 	// After is the last known revision.
 	After int64
@@ -146,31 +146,31 @@
 	Wait time.Duration
 }
 
-// StopWatch asks the driver to cancel the running Watch.
+// StopWatch requests the driver to cancel the running Watch.
 type StopWatch struct{}
 
-// Get asks the driver to read the key and to report Read.
+// Get requests the driver to read the key and to report ReadDone.
 type Get struct {
-	// Call numbers the call.
+	// Call is the number of the call.
 	Call uint64
 }
 
-// Put asks the driver to write the document by compare-and-swap and to report Written.
+// Put requests the driver to write the document by compare-and-swap and to report WriteDone.
 type Put struct {
 	// Data is the encoded document.
 	Data []byte
 	// Digest is the digest of the document.
 	Digest uint64
-	// Revision is the revision that the store must have.
+	// Revision is the expected revision of the key in the store.
 	Revision int64
 }
 
-// Changed tells that the document in force changed.
+// Changed reports that the document in force changed.
 type Changed struct{}
 
-// Rejected tells that data could not be used.
+// Rejected reports a document that could not be encoded or decoded, or that is too large for the store.
 type Rejected struct {
-	// Source tells where the data came from.
+	// Source is the source or kind of the document.
 	Source string
 	// Err is the reason.
 	Err error
