--- a/internal/fleet/peer/bench_test.go
+++ b/internal/fleet/peer/bench_test.go
@@ -25,8 +25,8 @@
 	b.ReportMetric(float64(after.BytesIn+after.BytesOut-before.BytesIn-before.BytesOut)/float64(b.N), "wire-B/op")
 }
 
-// BenchmarkConnection measures a new connection with its first call, and the memory that an open connection holds at
-// both ends together.
+// BenchmarkConnection measures setting up a connection and its first call, and the memory of an open connection at both
+// ends together.
 func BenchmarkConnection(b *testing.B) {
 	srv, _ := start(b, peer.ServerConfig{})
 	var before, after runtime.MemStats
@@ -35,7 +35,7 @@
 	clients := 0
 	for b.Loop() {
 		if clients == 1000 {
-			// The server's limit on connections would refuse more.
+			// The server refuses more connections.
 			break
 		}
 		clients++
--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// DefaultDialTimeout bounds the TCP connect and the handshake together.
+	// DefaultDialTimeout bounds the TCP connect plus the handshake.
 	DefaultDialTimeout = time.Second
 	// DefaultCallTimeout applies to calls whose context has no deadline.
 	DefaultCallTimeout = 5 * time.Second
-	// DefaultClientIdleTimeout exceeds the 215 s between two probes of the same member at 430 VMs, so that probes find open
-	// connections. A new connection costs about 1.1 KB and 0.7 ms of CPU at both ends together, an open one 50 KB of
-	// memory.
+	// DefaultClientIdleTimeout exceeds the 215 s between two probes of the same member at 430 VMs, so that probes reuse
+	// open connections. Setting up a connection costs about 1.1 KB of traffic and 0.7 ms of CPU time for both ends together;
+	// an open one takes 50 KB of memory.
 	DefaultClientIdleTimeout = 4 * time.Minute
 )
 
@@ -30,15 +30,15 @@
 type ClientConfig struct {
 	// Key is the shared key, at least MinKeyBytes long.
 	Key []byte
-	// Clock times idle connections. Optional.
+	// Clock is the time source for idle timeouts. Optional.
 	Clock cardamompass.Clock
-	// Logger receives connections that were given up. Optional.
+	// Logger logs connections that are closed because the peer does not respond. Optional.
 	Logger *zap.Logger
-	// DialTimeout bounds connect and handshake. Optional.
+	// DialTimeout bounds the TCP connect plus the handshake. Optional.
 	DialTimeout time.Duration
 	// CallTimeout bounds calls whose context has no deadline. Optional.
 	CallTimeout time.Duration
-	// IdleTimeout is the time without a call after which a connection is closed. Optional.
+	// IdleTimeout is the time after which a connection without calls is closed. Optional.
 	IdleTimeout time.Duration
 	// MaxMessageBytes bounds a message in each direction. Optional.
 	MaxMessageBytes int
@@ -72,19 +72,19 @@
 	cnt  counters
 	end  chan struct{}
 	dial func(address string) (con net.Conn, err error)
-	// onStop registers a function that runs when the client is stopped.
+	// onStop registers a function to be run when the client is stopped. Release unregisters it.
 	onStop func(fun func()) (release func() bool)
 	cancel context.CancelFunc
 
 	mut    sync.Mutex
 	conns  map[string]*conn
-	dials  map[string]*dialing
+	dials  map[string]*pendingDial
 	closed bool
 	wgr    sync.WaitGroup
 }
 
-// dialing is one connection attempt that several calls may wait for.
-type dialing struct {
+// pendingDial is a connection attempt for which several calls may wait.
+type pendingDial struct {
 	done chan struct{}
 	cnn  *conn
 	err  error
@@ -92,7 +92,7 @@
 
 var _ cardamompass.PeerCaller = (*Client)(nil)
 
-// NewClient returns a client without connections. The clean-up function closes all connections, ends running calls and
+// NewClient returns a client without connections. The stop function closes all connections, cancels running calls and
 // waits for the client's goroutines.
 func NewClient(cfg ClientConfig) (cli *Client, stop func(), err error) {
 	if len(cfg.Key) < MinKeyBytes {
@@ -107,7 +107,7 @@
 		end:    make(chan struct{}),
 		cancel: cancel,
 		conns:  map[string]*conn{},
-		dials:  map[string]*dialing{},
+		dials:  map[string]*pendingDial{},
 	}
 	cli.dial = func(address string) (net.Conn, error) { return cli.dialWith(ctx, address) }
 	cli.onStop = func(fun func()) func() bool { return context.AfterFunc(ctx, fun) }
@@ -115,12 +115,12 @@
 	return cli, cli.stop, nil
 }
 
-// Traffic returns the counts since the start.
+// Traffic returns the counters since the client was created.
 func (cli *Client) Traffic() Traffic { return cli.cnt.traffic() }
 
-// Call implements cardamompass.PeerCaller. A call that waits for others to write is bounded by its own deadline; a
-// cancellation without deadline takes effect once the write has ended. Reply is changed only when err is nil.
-// Errors: PeerUnsentError; RemoteError when the peer answered with an error; others leave the outcome open.
+// Call implements cardamompass.PeerCaller. Waiting for other calls to be written ends with the deadline of ctx; a
+// cancellation of ctx during the call's own write takes effect when the write ends. Reply is changed only if err is nil.
+// Errors: PeerUnsentError; RemoteError if the peer returned an error; after any other error, the outcome is unknown.
 func (cli *Client) Call(ctx context.Context, address, method string, args, reply any) (err error) {
 	defer func() { err = errors.Wrapf(err, "%s at %s", method, address) }()
 	if _, ok := ctx.Deadline(); !ok {
@@ -131,8 +131,8 @@
 	if val := reflect.ValueOf(reply); val.Kind() != reflect.Pointer || val.IsNil() {
 		return unsent(address, errors.New("reply must be a pointer"))
 	}
-	// A pooled connection may have been closed by the peer since its last use. Nothing was sent then, and one new
-	// connection is tried.
+	// The peer may have closed a pooled connection since its last use. Nothing was sent in this case, and the call is
+	// retried once on a new connection.
 	for try := 0; ; try++ {
 		cnn, fresh, derr := cli.connection(ctx, address)
 		if derr != nil {
@@ -146,7 +146,7 @@
 		if fresh || try > 0 || ctx.Err() != nil || errors.As(cerr, &ece) {
 			return unsent(address, cerr)
 		}
-		// The second try must not get the same connection, whose end may not have been noticed elsewhere yet.
+		// The retry must not use the same connection, whose closing may not have been detected by its reader yet.
 		cnn.retire()
 	}
 }
@@ -158,7 +158,7 @@
 	}
 }
 
-// connection returns the connection to address and dials if there is none. Fresh is set for a new connection.
+// connection returns the connection to address, dialling if there is none. Fresh is set for a new connection.
 func (cli *Client) connection(ctx context.Context, address string) (cnn *conn, fresh bool, err error) {
 	cli.mut.Lock()
 	if cli.closed {
@@ -169,30 +169,30 @@
 		cli.mut.Unlock()
 		return cnn, false, nil
 	}
-	dlg := cli.dials[address]
-	if dlg == nil {
-		dlg = &dialing{
+	pdl := cli.dials[address]
+	if pdl == nil {
+		pdl = &pendingDial{
 			done: make(chan struct{}),
 		}
-		cli.dials[address] = dlg
-		cli.wgr.Go(func() { cli.connect(address, dlg) })
+		cli.dials[address] = pdl
+		cli.wgr.Go(func() { cli.connect(address, pdl) })
 	}
 	cli.mut.Unlock()
 	select {
-	case <-dlg.done:
+	case <-pdl.done:
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
-	if dlg.err != nil {
-		return nil, false, dlg.err
+	if pdl.err != nil {
+		return nil, false, pdl.err
 	}
-	if !dlg.cnn.acquire() {
-		return nil, false, errors.New("connection closed at once")
+	if !pdl.cnn.acquire() {
+		return nil, false, errors.New("new connection was closed before its first call")
 	}
-	return dlg.cnn, true, nil
+	return pdl.cnn, true, nil
 }
 
-func (cli *Client) connect(address string, dlg *dialing) {
+func (cli *Client) connect(address string, pdl *pendingDial) {
 	con, err := cli.dial(address)
 	cli.mut.Lock()
 	defer cli.mut.Unlock()
@@ -202,42 +202,42 @@
 	}
 	if err == nil {
 		cli.cnt.connections.Inc()
-		dlg.cnn = newConn(cli, address, con)
-		cli.conns[address] = dlg.cnn
+		pdl.cnn = newConn(cli, address, con)
+		cli.conns[address] = pdl.cnn
 	}
-	dlg.err = err
+	pdl.err = err
 	delete(cli.dials, address)
-	close(dlg.done)
+	close(pdl.done)
 }
 
 func (cli *Client) dialWith(ctx context.Context, address string) (con net.Conn, err error) {
 	deadline := time.Now().Add(cli.cfg.DialTimeout)
 	dlr := net.Dialer{
 		Deadline: deadline,
-		// Probes of the membership find broken connections; keep-alive packets on hundreds of idle connections would
-		// cost more than the probes.
+		// The membership's probes detect broken connections; keep-alive packets on hundreds of idle connections would cost
+		// more than the probes.
 		KeepAlive: -1,
 	}
 	raw, err := dlr.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	// The clean-up function must not wait for a peer that accepts and stays silent.
+	// Closing the connection on stop keeps the stop function from waiting for a peer that accepts and then sends nothing.
 	release := cli.onStop(func() { _ = raw.Close() })
 	defer release()
 	con = countedConn{
 		Conn: raw,
 		cnt:  &cli.cnt,
 	}
-	if err = shakeClient(con, cli.cfg.Key, deadline); err != nil {
+	if err = clientHandshake(con, cli.cfg.Key, deadline); err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
 	return con, nil
 }
 
-// forget removes a connection from those that take new calls.
-func (cli *Client) forget(cnn *conn) {
+// removeConn removes a connection from the pool, so that it gets no new calls.
+func (cli *Client) removeConn(cnn *conn) {
 	cli.mut.Lock()
 	defer cli.mut.Unlock()
 	if cli.conns[cnn.address] == cnn {
@@ -258,7 +258,7 @@
 	cli.wgr.Wait()
 }
 
-// closeIdle closes connections without calls until the client is stopped.
+// closeIdle closes idle connections periodically until the client is stopped.
 func (cli *Client) closeIdle() {
 	for {
 		tmr := cli.cfg.Clock.NewTimer(cli.cfg.IdleTimeout / 4)
--- a/internal/fleet/peer/conn.go
+++ b/internal/fleet/peer/conn.go
@@ -19,7 +19,7 @@
 	address string
 	rcl     *rpc.Client
 	cdc     *clientCodec
-	// writing is held by the call that writes, so that waiting for it ends with the waiter's deadline.
+	// writing is a lock held by the call that is being written. It is a channel so that waiting for it can be cancelled.
 	writing chan struct{}
 
 	mut     sync.Mutex
@@ -51,7 +51,7 @@
 	return cnn
 }
 
-// acquire counts a new call and reports whether the connection takes it.
+// acquire registers a new call. It reports false if the connection is retired.
 func (cnn *conn) acquire() (ok bool) {
 	cnn.mut.Lock()
 	defer cnn.mut.Unlock()
@@ -82,13 +82,13 @@
 	return now.Sub(cnn.lastUse)
 }
 
-// retire ends the use for new calls. Running calls keep the connection until they end.
+// retire stops the use of the connection for new calls. It is closed when its running calls have ended.
 func (cnn *conn) retire() {
 	cnn.mut.Lock()
 	cnn.retired = true
 	last := cnn.calls == 0
 	cnn.mut.Unlock()
-	cnn.cli.forget(cnn)
+	cnn.cli.removeConn(cnn)
 	if last {
 		cnn.close()
 	}
@@ -96,7 +96,7 @@
 
 func (cnn *conn) close() { _ = cnn.rcl.Close() }
 
-// call makes one call on an acquired connection. Sent reports whether a byte of it may have been sent.
+// call makes one call on an acquired connection. Sent reports whether any byte of the call may have been sent.
 func (cnn *conn) call(ctx context.Context, method string, args, reply any) (sent bool, err error) {
 	defer cnn.release()
 	select {
@@ -105,17 +105,17 @@
 		return false, ctx.Err()
 	}
 	deadline, _ := ctx.Deadline()
-	// The reply is decoded into a value of its own, because it may arrive after this call has returned.
-	ret := &returned{
+	// The reply is decoded into a separate value, because it may arrive after this call has returned.
+	crp := &callReply{
 		value: reflect.New(reflect.TypeOf(reply).Elem()),
 	}
-	snd := &sending{
+	ogc := &outgoingCall{
 		method:   method,
 		args:     args,
 		deadline: deadline,
 	}
 	before := cnn.cdc.received.Load()
-	cll := cnn.rcl.Go(dispatchMethod, snd, ret, make(chan *rpc.Call, 1))
+	cll := cnn.rcl.Go(dispatchMethod, ogc, crp, make(chan *rpc.Call, 1))
 	<-cnn.writing
 	select {
 	case <-cll.Done:
@@ -125,34 +125,34 @@
 				zap.String("address", cnn.address), zap.String("method", method))
 			cnn.retire()
 		}
-		return snd.sent.Load(), ctx.Err()
+		return ogc.sent.Load(), ctx.Err()
 	}
 	if cll.Error != nil {
-		return snd.sent.Load(), cll.Error
+		return ogc.sent.Load(), cll.Error
 	}
 	cnn.cli.cnt.calls.Inc()
-	if ret.failure != nil {
-		return true, ret.failure
+	if crp.failure != nil {
+		return true, crp.failure
 	}
-	reflect.ValueOf(reply).Elem().Set(ret.value.Elem())
+	reflect.ValueOf(reply).Elem().Set(crp.value.Elem())
 	return true, nil
 }
 
-// sending is the argument that net/rpc hands to the codec.
-type sending struct {
+// outgoingCall is the argument that net/rpc passes to the codec.
+type outgoingCall struct {
 	method   string
 	args     any
 	deadline time.Time
 	sent     atomic.Bool
 }
 
-// encodeError reports arguments that can't be sent. The connection is not at fault.
+// encodeError reports arguments that can't be encoded. The connection remains usable.
 type encodeError struct{ err error }
 
 func (err *encodeError) Error() string { return err.err.Error() }
 
-// returned is the reply that the codec fills.
-type returned struct {
+// callReply is the reply that the codec fills.
+type callReply struct {
 	value   reflect.Value
 	failure error
 }
@@ -163,7 +163,7 @@
 	frd      *frameReader
 	fwr      *frameWriter
 	hdr      replyHeader
-	broken   error
+	readErr  error
 	received atomic.Uint64
 	done     chan struct{}
 	doneOnce sync.Once
@@ -173,50 +173,50 @@
 
 // WriteRequest implements rpc.ClientCodec.
 func (ccd *clientCodec) WriteRequest(req *rpc.Request, body any) (err error) {
-	snd, ok := body.(*sending)
+	ogc, ok := body.(*outgoingCall)
 	if !ok {
 		return errors.New("call without arguments")
 	}
 	hdr := requestHeader{
 		Seq:     req.Seq,
-		Method:  snd.method,
-		Timeout: time.Until(snd.deadline),
+		Method:  ogc.method,
+		Timeout: time.Until(ogc.deadline),
 	}
 	if hdr.Timeout <= 0 {
 		return context.DeadlineExceeded
 	}
-	if err = ccd.fwr.encode(hdr, snd.args); err != nil {
+	if err = ccd.fwr.encode(hdr, ogc.args); err != nil {
 		return &encodeError{
 			err: err,
 		}
 	}
-	if err = ccd.con.SetWriteDeadline(snd.deadline); err != nil {
+	if err = ccd.con.SetWriteDeadline(ogc.deadline); err != nil {
 		return ccd.abort(err)
 	}
 	cnt, err := ccd.fwr.flush()
-	snd.sent.Store(cnt > 0)
+	ogc.sent.Store(cnt > 0)
 	if err != nil {
 		return ccd.abort(err)
 	}
 	return nil
 }
 
-// abort closes the connection after a failed write, because the peer can't find the next frame.
+// abort closes the connection after a failed write, because the peer can't locate the start of the next frame.
 func (ccd *clientCodec) abort(err error) error {
 	_ = ccd.con.Close()
 	return err
 }
 
 func (ccd *clientCodec) fail(err error) error {
-	ccd.broken = err
+	ccd.readErr = err
 	ccd.doneOnce.Do(func() { close(ccd.done) })
 	return err
 }
 
 // ReadResponseHeader implements rpc.ClientCodec.
 func (ccd *clientCodec) ReadResponseHeader(rsp *rpc.Response) (err error) {
-	if ccd.broken != nil {
-		return ccd.fail(ccd.broken)
+	if ccd.readErr != nil {
+		return ccd.fail(ccd.readErr)
 	}
 	if err = ccd.frd.next(); err != nil {
 		return ccd.fail(err)
@@ -235,9 +235,9 @@
 
 // ReadResponseBody implements rpc.ClientCodec.
 func (ccd *clientCodec) ReadResponseBody(body any) (err error) {
-	ret, ok := body.(*returned)
+	crp, ok := body.(*callReply)
 	if ok {
-		ret.failure = ccd.hdr.failure()
+		crp.failure = ccd.hdr.failure()
 	}
 	if ccd.hdr.Kind != failureNone {
 		return nil
@@ -246,9 +246,9 @@
 		_ = ccd.frd.decode(nil)
 		return nil
 	}
-	// A reply that does not fit fails its own call only, because the frame delimits it.
-	if err = ccd.frd.decode(ret.value.Interface()); err != nil {
-		ret.failure = errors.Wrap(err, "bad reply")
+	// A reply of another type fails only its own call, because the frame delimits it.
+	if err = ccd.frd.decode(crp.value.Interface()); err != nil {
+		crp.failure = errors.Wrap(err, "bad reply")
 	}
 	return nil
 }
--- a/internal/fleet/peer/dispatch.go
+++ b/internal/fleet/peer/dispatch.go
@@ -14,8 +14,8 @@
 	"cardamompass"
 )
 
-// dispatchMethod is the only method that net/rpc sees. Dispatching behind it keeps the type of a method's error, which
-// net/rpc reduces to a string.
+// dispatchMethod is the only method registered with net/rpc. It dispatches to the registered receivers, which preserves
+// the type of a method's error; net/rpc reduces errors to strings.
 const dispatchMethod = "Dispatch.Call"
 
 var (
@@ -23,7 +23,7 @@
 	typeError   = reflect.TypeFor[error]()
 )
 
-// method is one registered method.
+// method is a method of a registered receiver.
 type method struct {
 	fun     reflect.Value
 	args    reflect.Type
@@ -55,7 +55,7 @@
 	return mths
 }
 
-// invoke runs the method. A panic of the method becomes an UnknownOutcomeError, because the method may have had effect.
+// invoke calls the method. A panic is converted to an UnknownOutcomeError, because the method may have had an effect.
 func (mth method) invoke(ctx context.Context, args, reply reflect.Value) (err error) {
 	defer func() {
 		if rec := recover(); rec != nil {
@@ -73,21 +73,21 @@
 	return err
 }
 
-// Dispatch is the receiver that net/rpc sees. It is exported only because net/rpc requires it.
+// Dispatch is the only receiver registered with net/rpc. It is exported only because net/rpc requires it.
 type Dispatch struct{}
 
-// Inbound is one call as the server received it. It is exported only because net/rpc requires it.
+// Inbound is a call received by the server. It is exported only because net/rpc requires it.
 type Inbound struct {
 	run func() (reply any, err error)
 }
 
-// Outbound is the result of one call. It is exported only because net/rpc requires it.
+// Outbound is the result of a call. It is exported only because net/rpc requires it.
 type Outbound struct {
 	reply any
 	err   error
 }
 
-// Call runs one received call.
+// Call runs a received call.
 func (*Dispatch) Call(inb *Inbound, out *Outbound) (err error) {
 	out.reply, out.err = inb.run()
 	return nil
@@ -95,20 +95,20 @@
 
 // serverCodec implements rpc.ServerCodec. net/rpc reads from one goroutine and serializes the writes.
 type serverCodec struct {
-	srv   *Server
-	con   countedConn
-	frd   *frameReader
-	fwr   *frameWriter
-	hdr   requestHeader
-	slots chan struct{}
-	// ended is closed when the server stops.
-	ended  <-chan struct{}
+	srv     *Server
+	con     countedConn
+	frd     *frameReader
+	fwr     *frameWriter
+	hdr     requestHeader
+	running chan struct{}
+	// done is closed when the server stops.
+	done   <-chan struct{}
 	cancel context.CancelFunc
-	// newCall returns the context of a call that arrives now.
+	// newCall returns the context of a call that has just been received.
 	newCall func(timeout time.Duration) (ctx context.Context, cancel context.CancelFunc)
-	// broken is the error that ended reading. It belongs to the reading goroutine.
-	broken error
-	once   sync.Once
+	// readErr is the error that ended reading. Only the reading goroutine accesses it.
+	readErr error
+	once    sync.Once
 }
 
 var _ rpc.ServerCodec = (*serverCodec)(nil)
@@ -116,13 +116,13 @@
 func newServerCodec(srv *Server, con countedConn) *serverCodec {
 	base, cancel := srv.newBase()
 	return &serverCodec{
-		srv:    srv,
-		con:    con,
-		frd:    newFrameReader(con, srv.cfg.MaxMessageBytes),
-		fwr:    newFrameWriter(con, srv.cfg.MaxMessageBytes),
-		slots:  make(chan struct{}, srv.cfg.MaxCalls),
-		ended:  base.Done(),
-		cancel: cancel,
+		srv:     srv,
+		con:     con,
+		frd:     newFrameReader(con, srv.cfg.MaxMessageBytes),
+		fwr:     newFrameWriter(con, srv.cfg.MaxMessageBytes),
+		running: make(chan struct{}, srv.cfg.MaxCalls),
+		done:    base.Done(),
+		cancel:  cancel,
 		newCall: func(timeout time.Duration) (context.Context, context.CancelFunc) {
 			if timeout <= 0 {
 				return context.WithCancel(base)
@@ -132,10 +132,10 @@
 	}
 }
 
-// fail ends the connection for reading and cancels the running calls.
+// fail records the error that ends reading and cancels the running calls.
 func (scd *serverCodec) fail(err error) error {
-	if scd.broken == nil {
-		scd.broken = err
+	if scd.readErr == nil {
+		scd.readErr = err
 	}
 	scd.cancel()
 	return err
@@ -143,8 +143,8 @@
 
 // ReadRequestHeader implements rpc.ServerCodec.
 func (scd *serverCodec) ReadRequestHeader(req *rpc.Request) (err error) {
-	if scd.broken != nil {
-		return scd.broken
+	if scd.readErr != nil {
+		return scd.readErr
 	}
 	if err = scd.con.SetReadDeadline(time.Now().Add(scd.srv.cfg.IdleTimeout)); err != nil {
 		return scd.fail(err)
@@ -156,10 +156,10 @@
 	if err = scd.frd.decode(&scd.hdr); err != nil {
 		return scd.fail(errors.Wrap(err, "bad request header"))
 	}
-	// A slot is free again when the response is written. Until then the peer's further frames stay unread.
+	// WriteResponse removes the entry again. While the channel is full, no further frames of the peer are read.
 	select {
-	case scd.slots <- struct{}{}:
-	case <-scd.ended:
+	case scd.running <- struct{}{}:
+	case <-scd.done:
 		return scd.fail(net.ErrClosed)
 	}
 	scd.srv.cnt.calls.Inc()
@@ -205,17 +205,18 @@
 	return nil
 }
 
-// refuse makes net/rpc answer with an error. The connection stays open, because the frame delimits the bad arguments
-// and a caller of another version must not disturb the other calls on its connection.
+// refuse logs arguments that can't be decoded and returns an error, which net/rpc sends as the reply. The connection stays
+// open, because the frame delimits the arguments, and a bad call of a peer of another version must not fail the other
+// calls on the connection.
 func (scd *serverCodec) refuse(name string, err error) error {
 	scd.srv.cfg.Logger.Warn("peer-arguments-refused",
 		zap.Stringer("from", scd.con.RemoteAddr()), zap.String("method", name), zap.Error(err))
-	return errors.Wrapf(err, "do not fit %s", name)
+	return errors.Wrapf(err, "do not match the parameters of %s", name)
 }
 
 // WriteResponse implements rpc.ServerCodec.
 func (scd *serverCodec) WriteResponse(rsp *rpc.Response, body any) (err error) {
-	defer func() { <-scd.slots }()
+	defer func() { <-scd.running }()
 	hdr := replyHeader{
 		Seq:  rsp.Seq,
 		Kind: failureNone,
@@ -234,7 +235,7 @@
 		if err = scd.fwr.encode(hdr, out.reply); err != nil {
 			scd.srv.cfg.Logger.Warn("peer-reply-not-encoded", zap.Error(err))
 			hdr = hdr.withFailure(&cardamompass.UnknownOutcomeError{
-				Reason: "reply could not be sent: " + err.Error(),
+				Reason: "reply could not be encoded: " + err.Error(),
 			})
 		}
 	}
@@ -252,7 +253,7 @@
 	return nil
 }
 
-// abort closes the connection after a failed write, because the peer can't find the next frame.
+// abort closes the connection after a failed write, because the peer can't locate the start of the next frame.
 func (scd *serverCodec) abort(err error) error {
 	_ = scd.con.Close()
 	return err
--- a/internal/fleet/peer/export_test.go
+++ b/internal/fleet/peer/export_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// DialRaw returns a connection after the handshake, for frames that no client writes.
+// DialRaw returns a connection after the handshake, for writing frames that a Client does not produce.
 func DialRaw(address string, key []byte) (con net.Conn, err error) {
 	if con, err = net.Dial("tcp", address); err != nil {
 		return nil, err
 	}
-	return con, shakeClient(con, key, time.Now().Add(time.Second))
+	return con, clientHandshake(con, key, time.Now().Add(time.Second))
 }
 
-// AcceptRaw does a server's part of the handshake.
+// AcceptRaw performs the server's side of the handshake.
 func AcceptRaw(con net.Conn, key []byte) (err error) {
-	return shakeServer(con, key, time.Now().Add(time.Second))
+	return serverHandshake(con, key, time.Now().Add(time.Second))
 }
 
-// Frame returns the frame of a call.
+// Frame returns the encoded frame of a call.
 func Frame(method string, args any) (data []byte) {
 	var buf bytes.Buffer
 	fwr := newFrameWriter(&buf, DefaultMaxMessageBytes)
--- a/internal/fleet/peer/frame.go
+++ b/internal/fleet/peer/frame.go
@@ -16,24 +16,24 @@
 
 const (
 	prefixBytes = 4
-	// resetBit in a frame's length tells the receiver that the sender started a new gob stream.
-	resetBit = uint32(1) << 31
-	// DefaultMaxMessageBytes leaves room for a catalogue of cardamompass.MaxValueBytes or a list of all members.
+	// newStreamBit is set in the length of a frame with which the sender starts a new gob stream.
+	newStreamBit = uint32(1) << 31
+	// DefaultMaxMessageBytes exceeds the size of a catalogue of cardamompass.MaxValueBytes and of a list of all members.
 	DefaultMaxMessageBytes = 4 << 20
-	// keepBytes is the buffer capacity that a connection keeps between messages. Larger buffers are released, so that
-	// one large message does not raise the memory of an idle connection for good.
-	keepBytes = 16 << 10
+	// retainedBufferBytes is the largest buffer capacity that a connection keeps between messages. Larger buffers are
+	// released, so that one large message does not permanently increase the memory of an idle connection.
+	retainedBufferBytes = 16 << 10
 )
 
 // errTooLarge reports a message above the bound on message size.
 var errTooLarge = errors.New("message exceeds the size limit")
 
-// Traffic counts what went over connections, handshakes included.
+// Traffic holds the traffic counters of a client or server.
 type Traffic struct {
-	// BytesIn and BytesOut count bytes of the TCP streams.
+	// BytesIn and BytesOut count bytes of the TCP streams, including handshakes.
 	BytesIn  uint64
 	BytesOut uint64
-	// Calls counts calls that were sent (client) or received (server).
+	// Calls counts calls that got a reply (client) or were received (server).
 	Calls uint64
 	// Connections counts connections that passed the handshake.
 	Connections uint64
@@ -55,7 +55,7 @@
 	}
 }
 
-// countedConn adds the bytes of a connection to counters.
+// countedConn counts the bytes read from and written to a connection.
 type countedConn struct {
 	net.Conn
 	cnt *counters
@@ -73,7 +73,7 @@
 	return cnt, err
 }
 
-// frameWriter encodes messages as frames of one gob stream. It is not safe for concurrent use.
+// frameWriter encodes messages as frames of a gob stream. It is not safe for concurrent use.
 type frameWriter struct {
 	out   io.Writer
 	limit int
@@ -89,10 +89,10 @@
 	}
 }
 
-// encode puts one message of several values into the buffer. After an error nothing is buffered, and the next message
-// starts a new gob stream, because the receiver did not see the type descriptions of this one.
+// encode encodes one message of several values into the buffer. After an error nothing is buffered, and the next message
+// starts a new gob stream, because the receiver did not get the type descriptions in this message.
 func (fwr *frameWriter) encode(values ...any) (err error) {
-	if fwr.buf.Cap() > keepBytes {
+	if fwr.buf.Cap() > retainedBufferBytes {
 		fwr.buf = bytes.Buffer{}
 	}
 	fwr.buf.Reset()
@@ -117,14 +117,14 @@
 	}
 	prefix := uint32(size)
 	if fwr.fresh {
-		prefix |= resetBit
+		prefix |= newStreamBit
 		fwr.fresh = false
 	}
 	binary.BigEndian.PutUint32(fwr.buf.Bytes(), prefix)
 	return nil
 }
 
-// flush writes the buffered frame and returns how many of its bytes were written.
+// flush writes the buffered frame and returns the number of bytes written.
 func (fwr *frameWriter) flush() (cnt int, err error) {
 	return fwr.out.Write(fwr.buf.Bytes())
 }
@@ -146,30 +146,30 @@
 	}
 }
 
-// next reads the next frame. An error leaves the stream unusable. It is io.EOF only between frames.
+// next reads the next frame. After an error the stream is unusable. The error is io.EOF only between frames.
 func (frd *frameReader) next() (err error) {
 	var prefix [prefixBytes]byte
 	if _, err = io.ReadFull(frd.inp, prefix[:]); err != nil {
 		return err
 	}
 	num := binary.BigEndian.Uint32(prefix[:])
-	size := int(num &^ resetBit)
+	size := int(num &^ newStreamBit)
 	if size > frd.limit {
 		return errors.Wrapf(errTooLarge, "frame of %d bytes, limit %d", size, frd.limit)
 	}
-	if frd.buf.Cap() > keepBytes {
+	if frd.buf.Cap() > retainedBufferBytes {
 		frd.buf = bytes.Buffer{}
 	}
 	frd.buf.Reset()
-	// CopyN grows the buffer with the bytes that arrive, not with the length that the peer claims.
+	// CopyN grows the buffer as bytes arrive, so that a false length does not allocate memory.
 	if _, err = io.CopyN(&frd.buf, frd.inp, int64(size)); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
-		return errors.Wrap(err, "frame cut short")
+		return errors.Wrap(err, "truncated frame")
 	}
 	frd.msg.Reset(frd.buf.Bytes())
-	if num&resetBit != 0 || frd.dec == nil {
+	if num&newStreamBit != 0 || frd.dec == nil {
 		frd.dec = gob.NewDecoder(frd.msg)
 	}
 	return nil
@@ -182,14 +182,14 @@
 type requestHeader struct {
 	Seq    uint64
 	Method string
-	// Timeout is the time that the caller grants, counted by the server from the arrival of the frame.
+	// Timeout is the time that remains for the call. The server counts it from the arrival of the frame.
 	Timeout time.Duration
 }
 
 type failureKind uint8
 
 const (
-	// failureNone is not zero, so that a header without fields does not pass for a success.
+	// failureNone is not zero, so that an empty header is not taken for a success.
 	failureNone failureKind = iota + 1
 	failureNotRun
 	failureUnknown
@@ -217,7 +217,7 @@
 	rhd.Kind = failureOther
 	rhd.Text = err.Error()
 	switch {
-	// An unknown outcome goes first: when both are in one chain, a claim that nothing ran could be false.
+	// An unknown outcome takes precedence: if the chain also contains a NotRunError, the request may still have run.
 	case errors.As(err, &uoe):
 		rhd.Kind = failureUnknown
 		rhd.Reason, rhd.Target, rhd.Broken = uoe.Reason, string(uoe.Target), uoe.Broken
@@ -231,7 +231,7 @@
 	return rhd
 }
 
-// failure returns the error of the envelope, nil if the call succeeded.
+// failure returns the error in the header, nil if the call succeeded.
 func (rhd replyHeader) failure() (err error) {
 	rem := &RemoteError{
 		Text: rhd.Text,
@@ -256,12 +256,12 @@
 			Reason: rhd.Reason,
 		}
 	default:
-		// Other errors, and kinds of a later version, have only their text.
+		// For other errors and for kinds of a later version, only the text is known.
 	}
 	return rem
 }
 
-// RemoteError reports that the peer received the call and answered with an error.
+// RemoteError reports that the peer received the call and returned an error.
 type RemoteError struct {
 	// Text is the peer's error text.
 	Text string
@@ -269,7 +269,7 @@
 	Err error
 }
 
-func (err *RemoteError) Error() string { return "peer answered: " + err.Text }
+func (err *RemoteError) Error() string { return "peer returned an error: " + err.Text }
 
-// Unwrap returns the typed error.
+// Unwrap returns Err.
 func (err *RemoteError) Unwrap() error { return err.Err }
--- a/internal/fleet/peer/fuzz_test.go
+++ b/internal/fleet/peer/fuzz_test.go
@@ -13,15 +13,15 @@
 	"cardamompass/internal/fleet/peer"
 )
 
-// answers checks that the server still serves others.
-func answers(t *testing.T, srv *peer.Server) {
+// checkServing checks that the server still serves other clients.
+func checkServing(t *testing.T, srv *peer.Server) {
 	if err := client(t, peer.ClientConfig{}).Call(t.Context(), srv.Address(), "Echo.Say", text{}, &text{}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// deliver writes data to the server, ends the direction and reads until the server closes.
-func deliver(t *testing.T, con net.Conn, data []byte) {
+// sendRaw writes data to the server, closes the writing side and reads until the server closes the connection.
+func sendRaw(t *testing.T, con net.Conn, data []byte) {
 	_ = con.SetDeadline(time.Now().Add(5 * time.Second))
 	_, _ = con.Write(data)
 	_ = con.(*net.TCPConn).CloseWrite()
@@ -32,7 +32,7 @@
 	}
 }
 
-// FuzzHandshake guards against a handshake that panics, hangs or lets a process without the key make a call.
+// FuzzHandshake guards against a handshake that panics, hangs or allows a process without the key to make a call.
 func FuzzHandshake(f *testing.F) {
 	srv, _ := start(f, peer.ServerConfig{})
 	f.Add([]byte{})
@@ -47,14 +47,14 @@
 			t.Skip(err)
 		}
 		defer con.Close()
-		deliver(t, con, data)
+		sendRaw(t, con, data)
 		if after := srv.Traffic(); after.Connections != before.Connections || after.Calls != before.Calls {
 			t.Fatalf("%x passed the handshake", data)
 		}
 	})
 }
 
-// FuzzFrames guards against frames of an authenticated peer that panic the server or harm its other connections.
+// FuzzFrames guards against frames of an authenticated peer that crash the server or affect its other connections.
 func FuzzFrames(f *testing.F) {
 	srv, _ := start(f, peer.ServerConfig{
 		MaxMessageBytes: 1 << 16,
@@ -74,12 +74,12 @@
 			t.Skip(err)
 		}
 		defer con.Close()
-		deliver(t, con, data)
-		answers(t, srv)
+		sendRaw(t, con, data)
+		checkServing(t, srv)
 	})
 }
 
-// FuzzReplies guards against a client that panics or hangs on the answers of a faulty peer.
+// FuzzReplies guards against a client that panics or hangs on the replies of a faulty peer.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(binary.BigEndian.AppendUint32(nil, 1<<31-1))
--- a/internal/fleet/peer/shake.go
+++ b/internal/fleet/peer/handshake.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// magic starts the first message of each side and names the version of the protocol.
+	// magic is the start of the first message of each side and identifies the protocol version.
 	magic = "CMPEER01"
-	// nonceBytes makes a repetition of a nonce improbable over the life of a key.
+	// nonceBytes is large enough to make a repeated nonce improbable over the lifetime of a key.
 	nonceBytes = 32
 	helloBytes = len(magic) + nonceBytes
-	// accepted is sent by the server after it has checked the client's proof. The client sends no call before it, so
-	// that a refused client knows that no byte of a call was sent.
+	// accepted is sent by the server after it has verified the client's proof. The client sends no call before receiving
+	// it, so that for a refused client no byte of a call was sent.
 	accepted = byte(0x06)
 
 	labelClient = "cardamompass peer client"
@@ -27,7 +27,7 @@
 	MinKeyBytes = 16
 )
 
-// errHandshake reports a peer that does not speak the protocol or does not hold the key.
+// errHandshake reports a peer that does not use this protocol or does not hold the key.
 var errHandshake = errors.New("peer failed the handshake")
 
 func proof(key []byte, label string, client, server []byte) (sum []byte) {
@@ -41,7 +41,7 @@
 func newHello() (msg []byte) {
 	msg = make([]byte, helloBytes)
 	copy(msg, magic)
-	// rand.Read never returns an error; it aborts the process when the system has no randomness.
+	// rand.Read never returns an error; it aborts the process if the system's random number generator fails.
 	_, _ = rand.Read(msg[len(magic):])
 	return msg
 }
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// shakeClient authenticates both sides of a connection that the caller dialled.
-func shakeClient(con net.Conn, key []byte, deadline time.Time) (err error) {
+// clientHandshake performs the handshake on a connection that the caller dialled.
+func clientHandshake(con net.Conn, key []byte, deadline time.Time) (err error) {
 	defer func() { err = errors.Wrap(err, "client handshake") }()
 	if err = con.SetDeadline(deadline); err != nil {
 		return err
@@ -99,8 +99,8 @@
 	return con.SetDeadline(time.Time{})
 }
 
-// shakeServer authenticates both sides of a connection that the caller accepted.
-func shakeServer(con net.Conn, key []byte, deadline time.Time) (err error) {
+// serverHandshake performs the handshake on a connection that the caller accepted.
+func serverHandshake(con net.Conn, key []byte, deadline time.Time) (err error) {
 	defer func() { err = errors.Wrap(err, "server handshake") }()
 	if err = con.SetDeadline(deadline); err != nil {
 		return err
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -19,7 +19,7 @@
 
 type text struct{ Text string }
 
-// echo is the receiver of the tests. Release ends its waiting methods.
+// echo is the receiver used by the tests. Closing release unblocks Wait and Hang.
 type echo struct{ release chan struct{} }
 
 func (*echo) Say(args text, reply *text) error {
@@ -35,7 +35,7 @@
 	return ctx.Err()
 }
 
-// Hang ignores the caller's deadline, as a peer that no longer answers.
+// Hang ignores the caller's deadline, like a peer that no longer responds.
 func (ech *echo) Hang(text, *text) error {
 	<-ech.release
 	return nil
@@ -45,7 +45,7 @@
 	switch args.Text {
 	case "not-run":
 		return &cardamompass.NotRunError{
-			Reason: "no room",
+			Reason: "no capacity",
 			Target: "t1",
 		}
 	case "unknown":
@@ -63,7 +63,7 @@
 			Err:     errors.New("refused"),
 		}
 	}
-	panic("as asked")
+	panic("requested by the test")
 }
 
 func (*echo) Large(_ text, reply *text) error {
@@ -105,8 +105,8 @@
 	return cli
 }
 
-// Guards against typed errors that lose their type or fields on the way, and against a claim of the peer's own unsent
-// call that would pass for one of ours.
+// Guards against typed errors that lose their type or fields between server and client, and against a PeerUnsentError
+// that the peer returned and that is mistaken for an unsent call of this client.
 func TestTypedErrors(t *testing.T) {
 	srv, _ := start(t, peer.ServerConfig{})
 	cli := client(t, peer.ClientConfig{})
@@ -114,7 +114,7 @@
 		return cli.Call(t.Context(), srv.Address(), "Echo.Fail", text{Text: txt}, &text{})
 	}
 	var nre *cardamompass.NotRunError
-	if err := call("not-run"); !errors.As(err, &nre) || nre.Reason != "no room" || nre.Target != "t1" {
+	if err := call("not-run"); !errors.As(err, &nre) || nre.Reason != "no capacity" || nre.Target != "t1" {
 		t.Errorf("not-run: got %v", err)
 	}
 	var uoe *cardamompass.UnknownOutcomeError
@@ -122,7 +122,7 @@
 		t.Errorf("unknown: got %v", err)
 	}
 	if err := call("panic"); !errors.As(err, &uoe) {
-		t.Errorf("a panic must leave the outcome open, got %v", err)
+		t.Errorf("the outcome must be unknown after a panic, got %v", err)
 	}
 	var ine *cardamompass.InvalidError
 	var pue *cardamompass.PeerUnsentError
@@ -152,7 +152,7 @@
 	}
 }
 
-// Guards against a wrong statement on whether a byte of the call was sent, on which at-most-once execution rests.
+// Guards against a wrong report of whether any byte of a call was sent. At-most-once execution depends on it.
 func TestUnsent(t *testing.T) {
 	srv, _ := start(t, peer.ServerConfig{
 		MaxMessageBytes: 4 << 10,
@@ -185,7 +185,7 @@
 		{name: "arguments not encodable", address: srv.Address(), method: "Echo.Say", args: func() {}, unsent: true},
 		{name: "reply too large", address: srv.Address(), method: "Echo.Large", args: text{}},
 		{name: "arguments of another type", address: srv.Address(), method: "Echo.Say", args: 5},
-		{name: "deadline passes in the method", address: srv.Address(), method: "Echo.Wait", args: text{}},
+		{name: "deadline exceeded in the method", address: srv.Address(), method: "Echo.Wait", args: text{}},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
@@ -213,7 +213,7 @@
 	}
 }
 
-// Guards against calls that wait behind a slow one on the same connection.
+// Guards against calls that are blocked by a slow call on the same connection.
 func TestMultiplexed(t *testing.T) {
 	srv, ech := start(t, peer.ServerConfig{})
 	cli := client(t, peer.ClientConfig{})
@@ -233,7 +233,7 @@
 	}
 }
 
-// Guards against new calls on a connection that no longer answers, and against idle connections that stay open.
+// Guards against new calls on a connection whose peer no longer responds, and against idle connections that stay open.
 func TestRetired(t *testing.T) {
 	srv, ech := start(t, peer.ServerConfig{})
 	cli := client(t, peer.ClientConfig{
@@ -275,7 +275,7 @@
 	start(t, peer.ServerConfig{
 		Address: first.Address(),
 	})
-	// The end of the old connection may be noticed only by one failed call.
+	// The closing of the old connection may be detected only by a failed call.
 	err = cli.Call(t.Context(), first.Address(), "Echo.Say", text{}, &text{})
 	if err != nil {
 		err = cli.Call(t.Context(), first.Address(), "Echo.Say", text{}, &text{})
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// DefaultMaxConnections holds one connection from each of 430 entry VMs, twice, because a VM that restarts
-	// connects again before its old connections time out.
+	// DefaultMaxConnections allows two connections from each of 430 entry VMs, because a VM that restarts connects again
+	// before its old connections time out.
 	DefaultMaxConnections = 1024
-	// DefaultMaxCalls bounds the calls of one connection that run at a time; further ones wait unread.
+	// DefaultMaxCalls bounds the calls of one connection that run concurrently; further ones stay unread.
 	DefaultMaxCalls = 256
-	// DefaultHandshakeTimeout is several round trips between the regions that are farthest apart.
+	// DefaultHandshakeTimeout allows for several round trips between the regions farthest apart.
 	DefaultHandshakeTimeout = 2 * time.Second
-	// DefaultServerIdleTimeout exceeds DefaultClientIdle, so that the client closes first and no call meets a closing server.
+	// DefaultServerIdleTimeout exceeds DefaultClientIdleTimeout, so that the client closes an idle connection first and no
+	// call is sent on a connection that the server is closing.
 	DefaultServerIdleTimeout = 2 * DefaultClientIdleTimeout
 )
 
@@ -30,13 +31,13 @@
 type ServerConfig struct {
 	// Listener accepts the connections; the server closes it. If nil, the server listens at Address.
 	Listener net.Listener
-	// Address is host:port by IP number.
+	// Address is host:port with an IP address as the host.
 	Address string
 	// Key is the shared key, at least MinKeyBytes long.
 	Key []byte
-	// Logger receives refused connections and bad frames. Optional.
+	// Logger logs refused connections and malformed frames. Optional.
 	Logger *zap.Logger
-	// MaxConnections bounds open connections, those in the handshake included. Optional.
+	// MaxConnections bounds the open connections, including those in the handshake. Optional.
 	MaxConnections int
 	// MaxCalls bounds the running calls of a connection. Optional.
 	MaxCalls int
@@ -44,17 +45,17 @@
 	MaxMessageBytes int
 	// HandshakeTimeout bounds the handshake. Optional.
 	HandshakeTimeout time.Duration
-	// IdleTimeout is the time without a call after which a connection is closed. Optional.
+	// IdleTimeout is the time after which a connection without calls is closed. Optional.
 	IdleTimeout time.Duration
 }
 
-// Server answers calls of other entry VMs. It is safe for concurrent use.
+// Server serves calls of other entry VMs. It is safe for concurrent use.
 type Server struct {
 	cfg ServerConfig
 	lis net.Listener
 	rps *rpc.Server
 	cnt counters
-	// newBase returns the context of a new connection; cancelAll ends those of all connections.
+	// newBase returns the context of a new connection; cancelAll cancels the contexts of all connections.
 	newBase   func() (ctx context.Context, cancel context.CancelFunc)
 	cancelAll context.CancelFunc
 
@@ -65,8 +66,8 @@
 	wgr     sync.WaitGroup
 }
 
-// NewServer binds the address. Register the receivers, then call Start. The clean-up function closes the listener and
-// all connections, cancels running calls and waits for them.
+// NewServer returns a server that listens but does not accept connections yet. Register the receivers, then call Start.
+// The stop function closes the listener and all connections, cancels running calls and waits for them.
 func NewServer(cfg ServerConfig) (srv *Server, stop func(), err error) {
 	defer func() { err = errors.Wrap(err, "peer server") }()
 	if len(cfg.Key) < MinKeyBytes {
@@ -124,8 +125,8 @@
 }
 
 // Register publishes the exported methods of receiver that have the form func(args T, reply *R) error or
-// func(ctx context.Context, args T, reply *R) error as "name.Method". The context ends with the caller's deadline and
-// with the connection. Errors: InvalidError when the receiver has no such method.
+// func(ctx context.Context, args T, reply *R) error as "name.Method". The context is cancelled at the caller's deadline
+// and when the connection ends. Errors: InvalidError if the receiver has no such method.
 func (srv *Server) Register(name string, receiver any) (err error) {
 	mths := methodsOf(name, receiver)
 	if len(mths) == 0 {
@@ -145,10 +146,10 @@
 // Address returns the address at which the server listens.
 func (srv *Server) Address() string { return srv.lis.Addr().String() }
 
-// Traffic returns the counts since the start.
+// Traffic returns the counters since the server was created.
 func (srv *Server) Traffic() Traffic { return srv.cnt.traffic() }
 
-// Start accepts connections until the clean-up function is called. Call it once.
+// Start starts accepting connections until the stop function is called. Call it once.
 func (srv *Server) Start() {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
@@ -178,7 +179,7 @@
 				return
 			}
 			srv.cfg.Logger.Warn("peer-accept-failed", zap.Error(err))
-			// Accept fails without pause while the process has no free file descriptors.
+			// Accept fails immediately while the process has no free file descriptors; the pause avoids a busy loop.
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -200,7 +201,7 @@
 		return false
 	}
 	if tcp, ok := con.(*net.TCPConn); ok {
-		// The idle limit ends connections of lost peers; see the client for the cost of keep-alive packets.
+		// The idle timeout closes connections of lost peers; see Client.dialWith for the cost of keep-alive packets.
 		_ = tcp.SetKeepAlive(false)
 	}
 	srv.conns[con] = struct{}{}
@@ -219,14 +220,14 @@
 		Conn: con,
 		cnt:  &srv.cnt,
 	}
-	if err := shakeServer(ccn, srv.cfg.Key, time.Now().Add(srv.cfg.HandshakeTimeout)); err != nil {
+	if err := serverHandshake(ccn, srv.cfg.Key, time.Now().Add(srv.cfg.HandshakeTimeout)); err != nil {
 		srv.cfg.Logger.Warn("peer-handshake-failed", zap.Stringer("from", con.RemoteAddr()), zap.Error(err))
 		return
 	}
 	srv.cnt.connections.Inc()
 	scd := newServerCodec(srv, ccn)
 	srv.rps.ServeCodec(scd)
-	err := scd.broken
+	err := scd.readErr
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		srv.cfg.Logger.Warn("peer-connection-broken", zap.Stringer("from", con.RemoteAddr()), zap.Error(err))
 	}
