--- a/cmd/entryvm/serve.go
+++ b/cmd/entryvm/serve.go
@@ -94,7 +94,7 @@
 		Address: set.StoreAddress,
 		Regions: set.Regions,
 		Dial:    send.Dialer(storeUserTimeout),
-		Called: func(call, result string) {
+		OnCall: func(call, result string) {
 			calls.Tagged(map[string]string{
 				"call":   call,
 				"result": result,
