--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -40,7 +40,7 @@
 	ledgerPrefix = "share/"
 	// watchWait is the longest duration of one watch call on the catalogue. A store that was restored to an older state
 	// answers a watch for a later revision only when the wait ends, and an edit that it then accepts must be active within
-	// a second. Three watchers make about four calls a second.
+	// a second. Three watchers make about four calls per second.
 	watchWait = 500 * time.Millisecond
 	// recentDecisions is the number of routing decisions kept for the state dump.
 	recentDecisions = 4096
--- a/internal/edge/lookup/block.go
+++ b/internal/edge/lookup/block.go
@@ -46,7 +46,7 @@
 // NewTable returns a table of the given blocks. The longest matching prefix wins, and the later of two equal prefixes.
 // An IPv6 prefix longer than 64 bits is an InvalidError.
 func NewTable(blocks []Block) (tbl *Table, err error) {
-	defer func() { err = errors.Wrap(err, "make client-block table") }()
+	defer func() { err = errors.Wrap(err, "build client-block table") }()
 	bld := newBuilder([]cardamompass.Region{""})
 	ipv4, ipv6, err := bld.split(blocks)
 	if err != nil {
--- a/internal/edge/lookup/lookup.go
+++ b/internal/edge/lookup/lookup.go
@@ -5,7 +5,7 @@
 // get the VMs in different rotations, which distributes their load.
 //
 // Responses are built from an immutable view and cached for a second, since the system is designed for 310,000 look-ups
-// a second.
+// per second.
 package lookup
 
 import (
@@ -83,7 +83,7 @@
 // state is a view with the cached responses that were built from it.
 type state struct {
 	view      View
-	responses sync.Map // bodyKey -> body
+	responses sync.Map // responseKey -> cachedResponse
 }
 
 type responseKey struct {
@@ -239,7 +239,7 @@
 	return list
 }
 
-// serving returns the alive and the suspect VMs of a region, in the order of members.
+// serving returns the alive and the suspect VMs of a region, sorted by id like members.
 func serving(members []cardamompass.Member, reg cardamompass.Region) (alive, suspects []cardamompass.VM) {
 	for _, mbr := range members {
 		switch {
--- a/internal/edge/oper/machine.go
+++ b/internal/edge/oper/machine.go
@@ -93,12 +93,12 @@
 		rec.attempt = max(rec.attempt, attempt)
 		return decisionWait, rec.outcome
 	}
-	again := rec.outcome.State == StateNotRun && attempt > rec.attempt
-	if again && opn.Ticket.homeID() == mch.self && !mch.closed && mch.age(now, opn) == ticketValid {
+	retried := rec.outcome.State == StateNotRun && attempt > rec.attempt
+	if retried && opn.Ticket.homeID() == mch.self && !mch.closed && mch.age(now, opn) == ticketValid {
 		mch.drop(rec)
 		return mch.admit(now, opn, hsh, attempt)
 	}
-	if again {
+	if retried {
 		rec.attempt = attempt
 	}
 	return decisionDone, rec.outcome
--- a/internal/edge/oper/prop_test.go
+++ b/internal/edge/oper/prop_test.go
@@ -197,8 +197,8 @@
 	return twice, falseNotRun, executed
 }
 
-// violations counts operations that ran twice and not-runs that were not true: the operation ran before, or afterwards
-// although the caller did not send it again in between.
+// violations counts the operations that ran, those that ran more than once, and the false not-run outcomes: the operation
+// ran before the outcome, or after it without a further attempt of the caller in between.
 func (sim *simulation) violations() (twice, falseNotRun, executed int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/edge/oper/table_test.go
+++ b/internal/edge/oper/table_test.go
@@ -18,7 +18,7 @@
 	"cardamompass/internal/edge/oper"
 )
 
-// manualClock is a clock that the test moves.
+// manualClock is a clock that the test advances.
 type manualClock struct {
 	cardamompass.SystemClock
 	now time.Time
@@ -312,6 +312,6 @@
 	}.WithState(cardamompass.StateLeft).WithSuccessor(homeVM.ID))
 	req.Ticket = oper.Issue(gone, time.Unix(1_700_000_000, 0)).String()
 	if _, err = services[nextVM.ID].Run(t.Context(), req, nil); !errors.As(err, &nre) {
-		t.Errorf("home that left and was started again: error %v, want its successor's not-run", err)
+		t.Errorf("home that left and restarted: error %v, want its successor's not-run", err)
 	}
 }
