--- a/internal/steer/budget/budget.go
+++ b/internal/steer/budget/budget.go
@@ -1,13 +1,13 @@
-// Package budget limits the extra requests that retries and hedges add.
+// Package budget limits the extra requests of retries and hedges.
 //
-// A budget is a token bucket that starts with half of a small minimum and holds no more than that. Each request adds
-// a percentage of a token, and time adds the other half of the minimum in each window, so that a VM with little
-// traffic may still retry. It guarantees for any interval that is no longer than the window, wherever it starts:
+// A budget is a token bucket whose capacity is half of a small minimum. It starts full. Each request adds a percentage
+// of a token, and time adds the other half of the minimum in each window, so that a VM with little traffic may still
+// retry. The following holds for any interval that is no longer than the window, wherever it starts:
 //
 //	extra requests <= minimum + percentage of the requests in the interval
 //
-// Credit is not saved beyond half of the minimum: a long time without failures does not allow a burst of retries when
-// the targets are in trouble. State is an immutable value for decisions and tests; Budget is safe for concurrent use.
+// Tokens above the capacity are discarded: a long time without failures does not allow a burst of retries when targets
+// fail. State is an immutable value for decisions and tests; Budget is safe for concurrent use.
 package budget
 
 import (
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// tokenParts is the number of parts of a token. Integer parts keep the bound exact.
-const tokenParts = int64(time.Second)
+// tokenScale is the number of integer units of a token. Integer arithmetic keeps the bound exact.
+const tokenScale = int64(time.Second)
 
 // Config describes a budget.
 type Config struct {
 	// Percent is the number of extra requests for each 100 requests.
 	Percent int
-	// Minimum is the number of extra requests for each window that are allowed beside the percentage; at least 2.
+	// Minimum is the number of extra requests in each window that are allowed in addition to the percentage; at least 2.
 	Minimum int
 	// Window is the longest interval for which the bound holds.
 	Window time.Duration
@@ -48,63 +48,63 @@
 
 // State is the state of a budget. It is immutable: a With method returns a changed copy.
 type State struct {
-	cfg   Config
-	parts int64
-	at    time.Time
+	cfg          Config
+	scaledTokens int64
+	updatedAt    time.Time
 }
 
-// Start returns the state of a budget at its first use.
+// Start returns the initial state of a budget.
 func Start(cfg Config, now time.Time) (sta State) {
 	cfg.Minimum = max(2, cfg.Minimum)
 	if cfg.Window <= 0 {
 		cfg.Window = 10 * time.Second
 	}
 	return State{
-		cfg:   cfg,
-		parts: half(cfg),
-		at:    now,
+		cfg:          cfg,
+		scaledTokens: capacity(cfg),
+		updatedAt:    now,
 	}
 }
 
-// half returns half of the minimum, in whole tokens so that a full bucket always allows one extra request.
-func half(cfg Config) (parts int64) { return int64(cfg.Minimum/2) * tokenParts }
+// capacity returns half of the minimum, rounded down to whole tokens, so that a full bucket always allows one extra request.
+func capacity(cfg Config) (parts int64) { return int64(cfg.Minimum/2) * tokenScale }
 
 // WithRequest returns the state after one request.
 func (sta State) WithRequest(now time.Time) (next State) {
-	next = sta.withTime(now)
-	next.parts = min(half(sta.cfg), next.parts+tokenParts*int64(sta.cfg.Percent)/100)
+	next = sta.withRefill(now)
+	next.scaledTokens = min(capacity(sta.cfg), next.scaledTokens+tokenScale*int64(sta.cfg.Percent)/100)
 	return next
 }
 
-// WithExtra returns the state after one extra request and whether the budget allows it. The state is still the one to
-// keep when it does not.
+// WithExtra returns the state after one extra request and whether the budget allows it. The returned state must be kept
+// in either case.
 func (sta State) WithExtra(now time.Time) (next State, ok bool) {
-	next = sta.withTime(now)
-	if next.parts < tokenParts {
+	next = sta.withRefill(now)
+	if next.scaledTokens < tokenScale {
 		return next, false
 	}
-	next.parts -= tokenParts
+	next.scaledTokens -= tokenScale
 	return next, true
 }
 
-// Tokens returns the number of extra requests that are allowed at once.
-func (sta State) Tokens() (count int) { return int(sta.parts / tokenParts) }
+// Tokens returns the number of extra requests that are allowed immediately.
+func (sta State) Tokens() (count int) { return int(sta.scaledTokens / tokenScale) }
 
-// withTime adds the tokens for the time since the last event. Events that arrive out of order add none.
-func (sta State) withTime(now time.Time) (next State) {
-	ela := now.Sub(sta.at)
+// withRefill returns the state with the tokens for the time since the last event. Events that arrive out of order add none.
+func (sta State) withRefill(now time.Time) (next State) {
+	ela := now.Sub(sta.updatedAt)
 	if ela <= 0 {
 		return sta
 	}
-	sta.at = now
-	// A bucket is full after one window, and more time would overflow the product.
+	sta.updatedAt = now
+	// The bucket is full after one window, and more time would overflow the product.
 	ela = min(ela, sta.cfg.Window)
-	add := float64(half(sta.cfg)) * (float64(ela) / float64(sta.cfg.Window))
-	sta.parts = min(half(sta.cfg), sta.parts+int64(add))
+	add := float64(capacity(sta.cfg)) * (float64(ela) / float64(sta.cfg.Window))
+	sta.scaledTokens = min(capacity(sta.cfg), sta.scaledTokens+int64(add))
 	return sta
 }
 
-// Budget is a State that many goroutines share.
+// Budget is a State that is safe for concurrent use.
 type Budget struct {
 	mut sync.Mutex
 	sta State
@@ -139,22 +139,21 @@
 	return bud.sta
 }
 
-// SetMinimum changes the number of extra requests that are allowed beside the percentage. Tokens beyond the new bound are lost; none are
-// added.
+// SetMinimum changes the minimum of the budget. Tokens above the new capacity are discarded; none are added.
 func (bud *Budget) SetMinimum(minimum int, now time.Time) {
 	bud.mut.Lock()
 	defer bud.mut.Unlock()
 	bud.sta = bud.sta.WithMinimum(minimum, now)
 }
 
-// WithMinimum returns the state with another minimum, at least 2.
+// WithMinimum returns the state with another minimum, which is raised to 2 if it is lower.
 func (sta State) WithMinimum(minimum int, now time.Time) (next State) {
 	minimum = max(2, minimum)
 	if minimum == sta.cfg.Minimum {
 		return sta
 	}
-	next = sta.withTime(now)
+	next = sta.withRefill(now)
 	next.cfg.Minimum = minimum
-	next.parts = min(next.parts, half(next.cfg))
+	next.scaledTokens = min(next.scaledTokens, capacity(next.cfg))
 	return next
 }
--- a/internal/steer/budget/budget_test.go
+++ b/internal/steer/budget/budget_test.go
@@ -15,8 +15,8 @@
 
 var seed = flag.Int64("seed", time.Now().UnixNano(), "seed of the properties")
 
-// Guards against a burst of extra requests in any window, however requests and failures are mixed. Each step is a gap
-// in milliseconds; its remainder selects between a request and an attempt to take an extra one.
+// Guards against a burst of extra requests in any window for any mix of requests and failures. Each step is a gap in
+// milliseconds; its remainder selects between a request and an attempt to take an extra one.
 func TestBudgetHoldsOverAnyWindow(t *testing.T) {
 	prm := gopter.DefaultTestParametersWithSeed(*seed)
 	prm.MinSize, prm.MaxSize = 50, 900
@@ -32,7 +32,7 @@
 			var requests, extras []time.Time
 			for i, gap := range gaps {
 				now = now.Add(time.Duration(gap) * time.Millisecond)
-				// Every other 150 steps there are only requests, which must not save credit for a burst.
+				// Every other 150 steps consist of requests only, which must not accumulate tokens for a burst.
 				if i/150%2 == 0 || gap%10 < busy {
 					bud.Request(now)
 					requests = append(requests, now)
@@ -40,14 +40,14 @@
 					extras = append(extras, now)
 				}
 			}
-			return holds(cfg, requests, extras)
+			return boundHolds(cfg, requests, extras)
 		}, gen.SliceOf(gen.IntRange(0, 30)), gen.IntRange(0, 10)))
 	}
 	prs.TestingRun(t)
 }
 
-// holds checks each window that begins and ends at an extra request. These are the tightest ones.
-func holds(cfg budget.Config, requests, extras []time.Time) bool {
+// boundHolds checks the bound for each interval that begins and ends at an extra request. These are the tightest ones.
+func boundHolds(cfg budget.Config, requests, extras []time.Time) bool {
 	for i, from := range extras {
 		for j := i; j < len(extras) && extras[j].Sub(from) <= cfg.Window; j++ {
 			count := 0
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Guards against a hedge of a request that must not run twice, that is long, or for which there is no room, and against
-// a budget that is charged for a hedge that is not sent.
+// Guards against a hedge of a request that must not run twice, that is long, or for which there is no free capacity, and
+// against a budget that is charged for a hedge that is not sent.
 func TestTryHedge(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	good := budget.HedgeInput{
--- a/internal/steer/budget/hedge.go
+++ b/internal/steer/budget/hedge.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// MinHedgeDelay bounds the delay from below, so that timer and scheduling delays of a busy VM do not hedge answers
-	// that take well under a millisecond.
+	// MinHedgeDelay bounds the delay from below, so that timer and scheduling delays of a busy VM do not cause hedges of
+	// requests that take well under a millisecond.
 	MinHedgeDelay = 2 * time.Millisecond
 	// MaxHedgeDelay bounds the delay from above, so that a p95 measured during an incident does not disable hedges.
 	MaxHedgeDelay = time.Second
-	// hedgeFactor times the usual latency is the least delay. In a narrow distribution the p95 lies close to the usual
-	// latency, and hedges at that point spend the budget on requests that are not late.
+	// hedgeFactor is the minimum delay as a multiple of the usual latency. In a narrow distribution the p95 is close to the
+	// usual latency, and hedges after that time would spend the budget on requests that are not late.
 	hedgeFactor = 2
 )
 
-// HedgeDelay returns the time after which a request may be hedged, from the 95th percentile and the usual value of
-// the service's recent latency. It is MaxHedgeDelay while these are not known.
+// HedgeDelay returns the time after which a request may be hedged, given the 95th percentile and the usual value of the
+// service's recent latency. It is MaxHedgeDelay while these are unknown.
 func HedgeDelay(p95, usual time.Duration) (dly time.Duration) {
 	if p95 <= 0 {
 		return MaxHedgeDelay
@@ -31,19 +31,19 @@
 type HedgeReason uint8
 
 const (
-	// HedgeAllowed lets the hedge go, if the budget has a token.
+	// HedgeAllowed allows the hedge, if the budget has a token.
 	HedgeAllowed HedgeReason = iota
-	// HedgeNotIdempotent forbids the hedge of a request that must run at most once.
+	// HedgeNotIdempotent rejects the hedge of a request that must run at most once.
 	HedgeNotIdempotent
-	// HedgeNotShort forbids the hedge of a long request.
+	// HedgeNotShort rejects the hedge of a long request.
 	HedgeNotShort
-	// HedgeTooEarly forbids a hedge before the hedge delay.
+	// HedgeTooEarly rejects a hedge before the hedge delay.
 	HedgeTooEarly
-	// HedgeNoCapacity forbids a hedge for which no region has room.
+	// HedgeNoCapacity rejects a hedge for which no region has free capacity.
 	HedgeNoCapacity
-	// HedgeNoTime forbids a hedge that cannot finish before the deadline.
+	// HedgeNoTime rejects a hedge that cannot finish before the deadline.
 	HedgeNoTime
-	// HedgeNoBudget forbids a hedge because the budget is used up.
+	// HedgeNoBudget rejects a hedge because the budget is exhausted.
 	HedgeNoBudget
 )
 
@@ -72,7 +72,7 @@
 // MarshalText implements encoding.TextMarshaler for the state dump.
 func (rsn HedgeReason) MarshalText() (text []byte, err error) { return []byte(rsn.String()), nil }
 
-// HedgeInput is what the decision about a hedge depends on.
+// HedgeInput is the input of the decision about a hedge.
 type HedgeInput struct {
 	Idempotent bool
 	Class      cardamompass.Class
@@ -82,11 +82,11 @@
 	// Left is the time until the deadline, Usual the usual latency of the service.
 	Left  time.Duration
 	Usual time.Duration
-	// HasCapacity reports whether a decision found a candidate for the hedge in a region with room.
+	// HasCapacity is set when there is a candidate for the hedge in a region with free capacity.
 	HasCapacity bool
 }
 
-// DecideHedge returns whether the request may be hedged, without the budget.
+// DecideHedge returns whether the request may be hedged, regardless of the budget.
 func DecideHedge(inp HedgeInput) (rsn HedgeReason) {
 	switch {
 	case !inp.Idempotent:
@@ -104,7 +104,7 @@
 	}
 }
 
-// TryHedge decides about a hedge and takes it from the budget. The budget is charged only when all else allows it.
+// TryHedge decides about a hedge and charges it to the budget. The budget is charged only if DecideHedge allows the hedge.
 func (bud *Budget) TryHedge(inp HedgeInput, now time.Time) (rsn HedgeReason) {
 	rsn = DecideHedge(inp)
 	if rsn == HedgeAllowed && !bud.TakeExtra(now) {
