--- a/internal/steer/queue/queue.go
+++ b/internal/steer/queue/queue.go
@@ -1,13 +1,14 @@
 // Package queue admits requests to the slots of a service within their deadlines.
 //
-// A Queue belongs to one service, or to one service and class where the classes have slots of their own. A request
-// that finds no slot waits in the caller's own goroutine. The queue is bounded. Short requests go before long ones and
-// equal ones in the order of arrival; in a full queue a short arrival takes the place of the latest long one. A
-// request leaves the queue as soon as it cannot finish before its deadline. A request that leaves without a slot gets a
-// *cardamompass.NotRunError, which is true because no target has seen it.
+// A Queue belongs to one service, or to one service and class where the classes have separate slots. A request that gets
+// no slot at once waits in the caller's goroutine. The queue is bounded. Short requests come before long ones, and
+// requests of one class are served in the order of arrival; in a full queue a short arrival displaces the latest long
+// request. A request leaves the queue as soon as it cannot finish before its deadline. A request that leaves without a
+// slot gets a *cardamompass.NotRunError, since it was not sent to any target.
 //
-// Slots are claimed by the try function of each request, under the queue's lock, so that a decision and its claim are
-// one step for all requests of a queue. Release of a slot wakes exactly one waiter that fits.
+// Slots are claimed by the try function of each request, under the queue's lock, so that the decision and the claim are
+// atomic with respect to other requests of the queue. The release of a slot wakes at most one waiter, whose requirement
+// the slot meets.
 package queue
 
 import (
@@ -21,13 +22,13 @@
 
 // Reasons of the NotRunError values of this package.
 const (
-	// ReasonFull is the reason when the queue is full of requests that go first.
+	// ReasonFull is the reason when the queue is full and the request displaces no other one.
 	ReasonFull = "queue is full"
-	// ReasonDisplaced is the reason when a short request took the place of this long one.
+	// ReasonDisplaced is the reason when a short request displaced this long one.
 	ReasonDisplaced = "queue is full and a short request took the place"
-	// ReasonLate is the reason when the request cannot finish before its deadline any more.
+	// ReasonLate is the reason when the request can no longer finish before its deadline.
 	ReasonLate = "no room in any region before the deadline"
-	// ReasonCancelled is the reason when the caller gave up.
+	// ReasonCancelled is the reason when the caller cancelled the request.
 	ReasonCancelled = "caller gave up while the request was queued"
 	// ReasonStopped is the reason when the queue was closed.
 	ReasonStopped = "entry VM stops"
@@ -43,19 +44,19 @@
 
 // Item describes a request for the queue.
 type Item struct {
-	// Class orders the request.
+	// Class determines the order of the request.
 	Class cardamompass.Class
-	// Deadline is when the caller needs the whole answer; Expected is the usual time for it.
+	// Deadline is the time by which the caller needs the complete response; Expected is the usual time that a request takes.
 	Deadline time.Time
 	Expected time.Duration
-	// Requirement names what the request needs, for example its caller's region. When a slot does not fit a waiter, the queue
+	// Requirement names what the slot must meet, for example the caller's region. When a waiter can't use a slot, the queue
 	// skips all other waiters with the same Requirement without trying them.
 	Requirement string
 }
 
-// SlotObserver is told that a slot became free. Implementations are safe for concurrent use.
+// SlotObserver is notified when a slot becomes free. Implementations are safe for concurrent use.
 type SlotObserver interface {
-	// SlotReleased hands the slot to at most one waiter that it fits and reports whether there was one.
+	// SlotReleased gives the slot to at most one waiter that can use it and reports whether there was one.
 	SlotReleased() (woken bool)
 }
 
@@ -63,33 +64,33 @@
 
 // Queue is a bounded admission queue. It is safe for concurrent use.
 type Queue struct {
-	cfg Config
-	mut sync.Mutex
-	lin line
-	off bool
+	cfg     Config
+	mut     sync.Mutex
+	wtl     waitList
+	stopped bool
 }
 
-// New returns a queue and a function that drops all waiters and refuses later requests.
+// New returns a queue and a function that stops it: all waiters and later requests get ReasonStopped.
 func New(cfg Config) (que *Queue, stop func()) {
 	que = &Queue{
 		cfg: cfg,
-		lin: newLine(),
+		wtl: newWaitList(),
 	}
 	return que, que.stop
 }
 
 // Wait returns nil once try has claimed a slot, at once or after some time in the queue. try reports whether it
 // claimed a slot; it runs under the queue's lock, in this or another goroutine, must not block or call the queue, and
-// is not called again after it returned true. When the caller gives up in the same moment as a slot is claimed, Wait
-// returns nil and the caller must give back the slot.
+// is not called again after it returned true. When ctx ends at the same time as a slot is claimed, Wait returns nil,
+// and the caller must release the slot.
 //
 // Errors: *cardamompass.NotRunError with one of the reasons of this package.
 func (que *Queue) Wait(ctx context.Context, itm Item, try func() (claimed bool)) (err error) {
-	wtr, err := que.enter(itm, try)
+	wtr, err := que.claimOrEnqueue(itm, try)
 	if err != nil || wtr == nil {
 		return err
 	}
-	// The deadline is for the whole answer, so the wait ends when there is no time left to run the request.
+	// The deadline applies to the complete response, so the wait ends when there is not enough time left to run the request.
 	tmr := que.cfg.Clock.NewTimer(itm.Deadline.Add(-itm.Expected).Sub(que.cfg.Clock.Now()))
 	defer tmr.Stop()
 	select {
@@ -103,7 +104,7 @@
 	return <-wtr.done
 }
 
-// SlotReleased implements Releaser. It costs one try for each distinct Fit among the waiters in the worst case.
+// SlotReleased implements SlotObserver. It calls try at most once for each distinct Requirement among the waiters.
 func (que *Queue) SlotReleased() (woken bool) {
 	now := que.cfg.Clock.Now()
 	que.mut.Lock()
@@ -111,8 +112,8 @@
 	return que.wakeOne(now)
 }
 
-// SlotsReleased hands out slots until no waiter fits any more, for use after a share has grown. It returns the number of
-// waiters that got one.
+// SlotsReleased gives free slots to waiters until none can use one. Call it after a share has grown. It returns the
+// number of waiters that got a slot.
 func (que *Queue) SlotsReleased() (count int) {
 	now := que.cfg.Clock.Now()
 	que.mut.Lock()
@@ -127,50 +128,50 @@
 func (que *Queue) Len() (count int) {
 	que.mut.Lock()
 	defer que.mut.Unlock()
-	return que.lin.len()
+	return que.wtl.len()
 }
 
-// enter returns no waiter and no error when a slot was claimed at once.
-func (que *Queue) enter(itm Item, try func() (claimed bool)) (wtr *waiter, err error) {
+// claimOrEnqueue adds a waiter for the request, or returns no waiter and no error when a slot was claimed at once.
+func (que *Queue) claimOrEnqueue(itm Item, try func() (claimed bool)) (wtr *waiter, err error) {
 	now := que.cfg.Clock.Now()
 	que.mut.Lock()
 	defer que.mut.Unlock()
 	switch {
-	case que.off:
+	case que.stopped:
 		return nil, notRun(ReasonStopped)
 	case itm.late(now):
 		return nil, notRun(ReasonLate)
-	case !que.lin.ahead(itm) && try():
+	case !que.wtl.hasPredecessor(itm) && try():
 		return nil, nil
 	}
-	if que.lin.len() >= que.cfg.Length {
-		vic := que.lin.victim(itm.Class)
-		if vic == nil {
+	if que.wtl.len() >= que.cfg.Length {
+		dsp := que.wtl.displaceable(itm.Class)
+		if dsp == nil {
 			return nil, notRun(ReasonFull)
 		}
-		que.finish(vic, notRun(ReasonDisplaced))
+		que.finish(dsp, notRun(ReasonDisplaced))
 	}
 	wtr = &waiter{
 		item: itm,
 		try:  try,
 		done: make(chan error, 1),
 	}
-	que.lin.push(wtr)
+	que.wtl.push(wtr)
 	return wtr, nil
 }
 
 func (que *Queue) wakeOne(now time.Time) (woken bool) {
-	var misfits []string
-	que.lin.each(func(wtr *waiter) (more bool) {
+	var unmet []string
+	que.wtl.each(func(wtr *waiter) (more bool) {
 		if wtr.item.late(now) {
 			que.finish(wtr, notRun(ReasonLate))
 			return true
 		}
-		if slices.Contains(misfits, wtr.item.Requirement) {
+		if slices.Contains(unmet, wtr.item.Requirement) {
 			return true
 		}
 		if !wtr.try() {
-			misfits = append(misfits, wtr.item.Requirement)
+			unmet = append(unmet, wtr.item.Requirement)
 			return true
 		}
 		que.finish(wtr, nil)
@@ -180,13 +181,13 @@
 	return woken
 }
 
-// finish takes the waiter out of the line and delivers its verdict. The lock is held.
-func (que *Queue) finish(wtr *waiter, verdict error) {
-	que.lin.remove(wtr)
-	wtr.done <- verdict
+// finish removes the waiter from the list and delivers its result. The caller must hold the lock.
+func (que *Queue) finish(wtr *waiter, result error) {
+	que.wtl.remove(wtr)
+	wtr.done <- result
 }
 
-// drop ends the wait unless a verdict was delivered in the meantime.
+// drop removes the waiter with a reason unless its result has already been delivered.
 func (que *Queue) drop(wtr *waiter, reason string) {
 	que.mut.Lock()
 	defer que.mut.Unlock()
@@ -204,8 +205,8 @@
 func (que *Queue) stop() {
 	que.mut.Lock()
 	defer que.mut.Unlock()
-	que.off = true
-	que.lin.each(func(wtr *waiter) (more bool) {
+	que.stopped = true
+	que.wtl.each(func(wtr *waiter) (more bool) {
 		que.finish(wtr, notRun(ReasonStopped))
 		return true
 	})
--- a/internal/steer/queue/queue_test.go
+++ b/internal/steer/queue/queue_test.go
@@ -21,7 +21,7 @@
 
 var seed = flag.Int64("seed", time.Now().UnixNano(), "seed of the properties")
 
-// clock tells the test when a request begins to wait.
+// clock notifies the test when a request begins to wait.
 type clock struct {
 	cardamompass.SystemClock
 	waits chan struct{}
@@ -32,8 +32,8 @@
 	return clk.SystemClock.NewTimer(dur)
 }
 
-// bench is a queue with a number of free slots and the outcomes of its requests by number.
-type bench struct {
+// testQueue is a queue with a number of free slots, and the outcomes of its requests by number.
+type testQueue struct {
 	clk  clock
 	que  *queue.Queue
 	stop func()
@@ -44,53 +44,53 @@
 	order  []int
 	errs   map[int]error
 	number int
-	last   chan struct{} // closed when the request that was sent last has ended
+	last   chan struct{} // closed when the request that was added last has ended
 }
 
-func newBench(length int) *bench {
-	bch := &bench{
+func newTestQueue(length int) *testQueue {
+	tsq := &testQueue{
 		clk: clock{
 			waits: make(chan struct{}, 1),
 		},
 		errs: make(map[int]error),
 	}
-	bch.que, bch.stop = queue.New(queue.Config{
+	tsq.que, tsq.stop = queue.New(queue.Config{
 		Length: length,
-		Clock:  bch.clk,
+		Clock:  tsq.clk,
 	})
-	return bch
+	return tsq
 }
 
 // send starts a request and returns once it waits or has ended.
-func (bch *bench) send(cls cardamompass.Class, fit string, left time.Duration) (num int) {
-	num, bch.number = bch.number, bch.number+1
+func (tsq *testQueue) send(cls cardamompass.Class, requirement string, left time.Duration) (num int) {
+	num, tsq.number = tsq.number, tsq.number+1
 	ended := make(chan struct{})
-	bch.last = ended
+	tsq.last = ended
 	itm := queue.Item{
 		Class:       cls,
-		Deadline:    bch.clk.Now().Add(left),
+		Deadline:    tsq.clk.Now().Add(left),
 		Expected:    10 * time.Millisecond,
-		Requirement: fit,
+		Requirement: requirement,
 	}
-	bch.wtg.Go(func() {
+	tsq.wtg.Go(func() {
 		defer close(ended)
-		err := bch.que.Wait(context.Background(), itm, func() bool {
-			bch.mut.Lock()
-			defer bch.mut.Unlock()
-			if bch.free == 0 || fit == "never" {
+		err := tsq.que.Wait(context.Background(), itm, func() bool {
+			tsq.mut.Lock()
+			defer tsq.mut.Unlock()
+			if tsq.free == 0 || requirement == "never" {
 				return false
 			}
-			bch.free--
-			bch.order = append(bch.order, num)
+			tsq.free--
+			tsq.order = append(tsq.order, num)
 			return true
 		})
-		bch.mut.Lock()
-		defer bch.mut.Unlock()
-		bch.errs[num] = err
+		tsq.mut.Lock()
+		defer tsq.mut.Unlock()
+		tsq.errs[num] = err
 	})
 	select {
 	case <-ended:
-	case <-bch.clk.waits:
+	case <-tsq.clk.waits:
 	}
 	return num
 }
@@ -103,8 +103,8 @@
 	return fmt.Sprint(err)
 }
 
-// model returns the order in which the waiting requests must get slots, and the number of those that are turned away.
-func model(longs []bool, length int) (order []int, dropped int) {
+// expectedOrder returns the order in which the waiting requests must get slots, and the number of those that are dropped.
+func expectedOrder(longs []bool, length int) (order []int, dropped int) {
 	var short, long []int
 	for num, isLong := range longs {
 		full := len(short)+len(long) >= length
@@ -125,87 +125,88 @@
 	return append(short, long...), dropped
 }
 
-// Guards against a queue that outgrows its bound, serves long requests before short ones, or wakes more than one waiter
-// for a slot.
+// Guards against a queue that exceeds its bound, serves long requests before short ones, or wakes more than one waiter for a
+// slot.
 func TestBoundedAndOrdered(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	prs := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(*seed))
 	prs.Property("model", prop.ForAll(func(longs []bool, length int) string {
-		bch := newBench(length)
+		tsq := newTestQueue(length)
 		for _, isLong := range longs {
 			cls := cardamompass.ClassShort
 			if isLong {
 				cls = cardamompass.ClassLong
 			}
-			bch.send(cls, "gulf", time.Minute)
-			if bch.que.Len() > length {
+			tsq.send(cls, "gulf", time.Minute)
+			if tsq.que.Len() > length {
 				return "queue is longer than its bound"
 			}
 		}
-		want, dropped := model(longs, length)
-		// More slots are free than are released, so that only the number of wake-ups limits the grants.
-		bch.free = len(want) + 1
+		want, dropped := expectedOrder(longs, length)
+		// More slots are free than are released, so that only the number of wake-ups limits the number of claims.
+		tsq.free = len(want) + 1
 		for left := len(want); left > 0; left-- {
-			if !bch.que.SlotReleased() || bch.que.Len() != left-1 {
+			if !tsq.que.SlotReleased() || tsq.que.Len() != left-1 {
 				return "a slot did not wake exactly one waiter"
 			}
 		}
-		if bch.que.SlotReleased() {
+		if tsq.que.SlotReleased() {
 			return "a slot woke a waiter of an empty queue"
 		}
-		bch.wtg.Wait()
+		tsq.wtg.Wait()
 		count := 0
-		for _, err := range bch.errs {
+		for _, err := range tsq.errs {
 			if rsn := reason(err); err != nil && rsn != queue.ReasonFull && rsn != queue.ReasonDisplaced {
 				return "drop without its reason: " + rsn
 			} else if err != nil {
 				count++
 			}
 		}
-		if !slices.Equal(bch.order, want) || count != dropped {
-			return fmt.Sprintf("order %v, want %v; %d dropped, want %d", bch.order, want, count, dropped)
+		if !slices.Equal(tsq.order, want) || count != dropped {
+			return fmt.Sprintf("order %v, want %v; %d dropped, want %d", tsq.order, want, count, dropped)
 		}
 		return ""
 	}, gen.SliceOf(gen.Bool()), gen.IntRange(1, 12)))
 	prs.TestingRun(t)
 }
 
-// Guards against requests that stay although they cannot finish, against a slot that is lost to one of them, and against
-// an arrival that overtakes a waiter.
+// Guards against requests that stay in the queue although they cannot finish in time, against a slot that is given to one of
+// them, and against an arrival that overtakes a waiter.
 func TestLeavesTheQueue(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	bch := newBench(10)
-	late := bch.send(cardamompass.ClassShort, "gulf", 5*time.Millisecond)
-	first := bch.send(cardamompass.ClassShort, "gulf", 20*time.Millisecond)
-	<-bch.last
-	misfit := bch.send(cardamompass.ClassShort, "never", time.Minute)
-	second := bch.send(cardamompass.ClassShort, "gulf", time.Minute)
-	bch.mut.Lock()
-	bch.free = 1
-	bch.mut.Unlock()
-	overtaking := bch.send(cardamompass.ClassShort, "gulf", time.Minute)
-	if !bch.que.SlotReleased() {
+	tsq := newTestQueue(10)
+	late := tsq.send(cardamompass.ClassShort, "gulf", 5*time.Millisecond)
+	first := tsq.send(cardamompass.ClassShort, "gulf", 20*time.Millisecond)
+	<-tsq.last
+	unmet := tsq.send(cardamompass.ClassShort, "never", time.Minute)
+	second := tsq.send(cardamompass.ClassShort, "gulf", time.Minute)
+	tsq.mut.Lock()
+	tsq.free = 1
+	tsq.mut.Unlock()
+	overtaking := tsq.send(cardamompass.ClassShort, "gulf", time.Minute)
+	if !tsq.que.SlotReleased() {
 		t.Error("the slot woke nobody")
 	}
-	bch.stop()
-	stopped := bch.send(cardamompass.ClassShort, "gulf", time.Minute)
-	bch.wtg.Wait()
+	tsq.stop()
+	stopped := tsq.send(cardamompass.ClassShort, "gulf", time.Minute)
+	tsq.wtg.Wait()
 	want := map[int]string{
 		late:       queue.ReasonLate,
 		first:      queue.ReasonLate,
-		misfit:     queue.ReasonStopped,
+		unmet:      queue.ReasonStopped,
 		second:     "<nil>",
 		overtaking: queue.ReasonStopped,
 		stopped:    queue.ReasonStopped,
 	}
 	for num, rsn := range want {
-		if got := reason(bch.errs[num]); got != rsn {
+		if got := reason(tsq.errs[num]); got != rsn {
 			t.Errorf("request %d: %s, want %s", num, got, rsn)
 		}
 	}
 }
 
-// Guards against a caller that gave up but stays in the queue, and against waiters that a catalogue edit strands.
+// Guards against a cancelled request that stays in the queue, and against waiters that are never served or dropped after a
+// catalogue edit.
 func TestSet(t *testing.T) {
 	set, stop := queue.NewSet(cardamompass.SystemClock{})
 	svcs := []cardamompass.Service{{Name: "core", Class: cardamompass.ClassShort, QueueLength: 1}}
--- a/internal/steer/queue/set.go
+++ b/internal/steer/queue/set.go
@@ -9,10 +9,10 @@
 
 // Set holds the queues of all services, one for each service and class. It is safe for concurrent use.
 type Set struct {
-	clk  cardamompass.Clock
-	mut  sync.Mutex // serializes SetServices and stop
-	off  bool
-	ques atomic.Pointer[map[setKey]*Queue]
+	clk     cardamompass.Clock
+	mut     sync.Mutex // serializes SetServices and stop
+	stopped bool
+	ques    atomic.Pointer[map[setKey]*Queue]
 }
 
 type setKey struct {
@@ -29,13 +29,13 @@
 	return set, set.stop
 }
 
-// SetServices replaces the services by those of the catalogue in force. The queue of a service that stays keeps its
-// waiters and gets the new length; a shorter length drops no waiter. The queue of a removed service is stopped. After
-// the set was stopped, SetServices has no effect.
+// SetServices replaces the services with those of the catalogue in force. The queue of a service that remains keeps its
+// waiters and gets the new length; a shorter length drops no waiter. The queue of a removed service is stopped. SetServices
+// has no effect once the set is stopped.
 func (set *Set) SetServices(svcs []cardamompass.Service) {
 	set.mut.Lock()
 	defer set.mut.Unlock()
-	if set.off {
+	if set.stopped {
 		return
 	}
 	old, ques := *set.ques.Load(), make(map[setKey]*Queue, len(svcs))
@@ -73,7 +73,7 @@
 func (set *Set) stop() {
 	set.mut.Lock()
 	defer set.mut.Unlock()
-	set.off = true
+	set.stopped = true
 	for _, que := range *set.ques.Load() {
 		que.stop()
 	}
--- a/internal/steer/queue/waitlist.go
+++ b/internal/steer/queue/waitlist.go
@@ -7,86 +7,86 @@
 	"cardamompass"
 )
 
-// line is the order of the waiting requests: short ones before long ones, and by arrival within a class. It reads no
+// waitList holds the waiting requests in order: short ones before long ones, and by arrival within a class. It reads no
 // clock and takes no lock.
-type line struct {
-	short lane
-	long  lane
+type waitList struct {
+	short fifo
+	long  fifo
 }
 
-// lane holds the waiters of one class.
-type lane struct {
+// fifo holds the waiters of one class in the order of arrival.
+type fifo struct {
 	list.List
-	// fits counts the waiters for each Item.Fit.
-	fits map[string]int
+	// requirements counts the waiters by Item.Requirement.
+	requirements map[string]int
 }
 
 // waiter is one waiting request. Its fields besides the channel are guarded by the queue's lock.
 type waiter struct {
 	item Item
 	try  func() (claimed bool)
-	elm  *list.Element // nil once the waiter has left the line
-	// done receives the verdict exactly once: nil for a slot, or the reason for a drop.
+	elm  *list.Element // nil once the waiter has left the list
+	// done receives the result exactly once: nil for a slot, or the error of a waiter that leaves without one.
 	done chan error
 }
 
-func newLine() (lin line) {
-	return line{
-		short: lane{
-			fits: make(map[string]int),
+func newWaitList() (wtl waitList) {
+	return waitList{
+		short: fifo{
+			requirements: make(map[string]int),
 		},
-		long: lane{
-			fits: make(map[string]int),
+		long: fifo{
+			requirements: make(map[string]int),
 		},
 	}
 }
 
-func (lin *line) lane(cls cardamompass.Class) (lan *lane) {
+func (wtl *waitList) fifo(cls cardamompass.Class) (ffo *fifo) {
 	if cls == cardamompass.ClassLong {
-		return &lin.long
+		return &wtl.long
 	}
-	return &lin.short
+	return &wtl.short
 }
 
-func (lin *line) len() (count int) { return lin.short.Len() + lin.long.Len() }
+func (wtl *waitList) len() (count int) { return wtl.short.Len() + wtl.long.Len() }
 
-func (lin *line) push(wtr *waiter) {
-	lan := lin.lane(wtr.item.Class)
-	lan.fits[wtr.item.Requirement]++
-	wtr.elm = lan.PushBack(wtr)
+func (wtl *waitList) push(wtr *waiter) {
+	ffo := wtl.fifo(wtr.item.Class)
+	ffo.requirements[wtr.item.Requirement]++
+	wtr.elm = ffo.PushBack(wtr)
 }
 
-func (lin *line) remove(wtr *waiter) {
+func (wtl *waitList) remove(wtr *waiter) {
 	if wtr.elm == nil {
 		return
 	}
-	lan := lin.lane(wtr.item.Class)
-	if lan.fits[wtr.item.Requirement]--; lan.fits[wtr.item.Requirement] == 0 {
-		delete(lan.fits, wtr.item.Requirement)
+	ffo := wtl.fifo(wtr.item.Class)
+	if ffo.requirements[wtr.item.Requirement]--; ffo.requirements[wtr.item.Requirement] == 0 {
+		delete(ffo.requirements, wtr.item.Requirement)
 	}
-	lan.Remove(wtr.elm)
+	ffo.Remove(wtr.elm)
 	wtr.elm = nil
 }
 
-// victim returns the waiter that gives up its place in a full line to an arrival of class cls: the latest long one
-// for a short arrival, none otherwise.
-func (lin *line) victim(cls cardamompass.Class) (wtr *waiter) {
-	if cls == cardamompass.ClassLong || lin.long.Len() == 0 {
+// displaceable returns the waiter that an arrival of class cls displaces when the list is full: the latest long one for a
+// short arrival, none otherwise.
+func (wtl *waitList) displaceable(cls cardamompass.Class) (wtr *waiter) {
+	if cls == cardamompass.ClassLong || wtl.long.Len() == 0 {
 		return nil
 	}
-	return lin.long.Back().Value.(*waiter)
+	return wtl.long.Back().Value.(*waiter)
 }
 
-// ahead reports whether a waiter with the same fit goes before an arrival of class cls. An arrival must not overtake
-// it, but it may pass waiters that need other slots.
-func (lin *line) ahead(itm Item) (yes bool) {
-	return lin.short.fits[itm.Requirement] > 0 || itm.Class == cardamompass.ClassLong && lin.long.fits[itm.Requirement] > 0
+// hasPredecessor reports whether a waiter with the same requirement precedes an arrival. The arrival must not overtake it,
+// but may overtake waiters with other requirements.
+func (wtl *waitList) hasPredecessor(itm Item) (yes bool) {
+	return wtl.short.requirements[itm.Requirement] > 0 || itm.Class == cardamompass.ClassLong && wtl.long.requirements[itm.Requirement] > 0
 }
 
 // each calls visit for the waiters in order until it returns false. visit may remove the waiter.
-func (lin *line) each(visit func(wtr *waiter) (more bool)) {
-	for _, lan := range []*lane{&lin.short, &lin.long} {
-		for elm := lan.Front(); elm != nil; {
+func (wtl *waitList) each(visit func(wtr *waiter) (more bool)) {
+	for _, ffo := range []*fifo{&wtl.short, &wtl.long} {
+		for elm := ffo.Front(); elm != nil; {
 			next := elm.Next()
 			if !visit(elm.Value.(*waiter)) {
 				return
