--- a/internal/fleet/chaos_test.go
+++ b/internal/fleet/chaos_test.go
@@ -13,8 +13,9 @@
 	"cardamompass/internal/fleet/member"
 )
 
-// agree returns a complaint unless all nodes that run see exactly each other as alive.
-func (sml *sim) agree() string {
+// disagreement returns the first difference between the views of the running nodes and the set of running nodes, empty if there
+// is none.
+func (sml *sim) disagreement() string {
 	for _, one := range sml.nodes {
 		seen := map[cardamompass.VMID]cardamompass.MemberState{}
 		for _, mbr := range one.mch.Members() {
@@ -30,22 +31,22 @@
 	return ""
 }
 
-// rumour gives one node a false record of another one, as a former verdict that still travels.
-func (sml *sim) rumour() {
-	teller := sml.nodes[sml.rng.Intn(len(sml.nodes))]
-	hearer := sml.nodes[sml.rng.Intn(len(sml.nodes))]
-	victim := sml.nodes[sml.rng.Intn(len(sml.nodes))]
-	mbr := victim.mch.Self().WithState(cardamompass.StateSuspect)
+// injectFalseRecord sends a false suspect or dead record of one node to another one, as if an outdated record still circulated.
+func (sml *sim) injectFalseRecord() {
+	sender := sml.nodes[sml.rng.Intn(len(sml.nodes))]
+	receiver := sml.nodes[sml.rng.Intn(len(sml.nodes))]
+	subject := sml.nodes[sml.rng.Intn(len(sml.nodes))]
+	mbr := subject.mch.Self().WithState(cardamompass.StateSuspect)
 	if sml.rng.Intn(2) == 0 {
 		mbr = mbr.WithState(cardamompass.StateDead)
 	}
-	if teller.down || hearer.down || victim.down || teller == hearer {
+	if sender.down || receiver.down || subject.down || sender == receiver {
 		return
 	}
-	hearer.member(member.PingReceived{
+	receiver.member(member.PingReceived{
 		Now: sml.now,
 		Message: member.Message{
-			From: teller.mch.Self(),
+			From: sender.mch.Self(),
 			Updates: []member.Update{
 				{
 					Member: mbr,
@@ -55,28 +56,28 @@
 	})
 }
 
-// Guards against a live, answering member that stays dead in some view, and a dead one that stays alive, after any
-// sequence of losses, delays, false verdicts and deaths.
+// Guards against a live, reachable member that stays dead in some view, and a dead one that stays alive, after any sequence of
+// losses, delays, false records and crashes.
 func TestLiveMembersReturn(t *testing.T) {
 	num := seed(t)
 	pms := gopter.DefaultTestParametersWithSeed(num)
 	pms.MinSuccessfulTests = 100
 	pps := gopter.NewProperties(pms)
-	pps.Property("views agree once messages arrive", prop.ForAll(func(num int64, size int, loss float64, rumours int) string {
+	pps.Property("views converge once messages arrive", prop.ForAll(func(num int64, size int, loss float64, records int) string {
 		sml := newSim(num, size)
 		sml.latency = 60 * time.Millisecond
-		sml.begin()
+		sml.start()
 		sml.run(10 * time.Second)
 		sml.loss = loss
-		for range rumours {
+		for range records {
 			sml.run(time.Duration(sml.rng.Intn(1000)) * time.Millisecond)
-			sml.rumour()
+			sml.injectFalseRecord()
 		}
 		sml.nodes[size-1].down = sml.rng.Intn(2) == 0
 		sml.run(20 * time.Second)
 		sml.loss = 0
 		sml.run(40 * time.Second)
-		return sml.agree()
+		return sml.disagreement()
 	}, gen.Int64(), gen.IntRange(3, 9), gen.Float64Range(0, 0.9), gen.IntRange(0, 40)))
 	pps.TestingRun(t)
 }
--- a/internal/fleet/doc_test.go
+++ b/internal/fleet/doc_test.go
@@ -17,7 +17,7 @@
 	"cardamompass/internal/fleet/spread"
 )
 
-// doc is a document for tests: entries with versions, the version of the document being the highest of them.
+// doc is a document for tests: entries with versions. The version of the document is the highest of them.
 type doc struct{ entries map[string]int64 }
 
 var _ spread.Doc[doc] = doc{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// entryBytes is the size of an entry's content; the measurements need realistic sizes.
+// entryContent is the content of each entry. Its size is realistic, for the benchmarks.
 var entryContent = bytes.Repeat([]byte{'x'}, 250)
 
 type entry struct {
@@ -101,7 +101,7 @@
 	},
 }
 
-// memStore is a store in memory that can fail and can be set back.
+// memStore is a store in memory that can fail and can be restored to an older state.
 type memStore struct {
 	cardamompass.Store // panics for calls that are not expected
 
@@ -109,7 +109,7 @@
 	val     cardamompass.Value
 	changed chan struct{}
 	down    bool
-	late    time.Duration
+	delay   time.Duration
 	reads   int
 	watches int
 	writes  int
@@ -156,9 +156,9 @@
 		}
 		if val.Revision > after {
 			sto.mut.Lock()
-			late := sto.late
+			delay := sto.delay
 			sto.mut.Unlock()
-			time.Sleep(late)
+			time.Sleep(delay)
 			return val, nil
 		}
 		select {
@@ -199,8 +199,8 @@
 	sto.changed = make(chan struct{})
 }
 
-// force sets the content regardless of the revision, as an edit or a restoration does.
-func (sto *memStore) force(dcm doc, revision int64) {
+// overwrite sets the content regardless of the revision, like an edit or the restoration of a backup.
+func (sto *memStore) overwrite(dcm doc, revision int64) {
 	data, err := codec.Encode(dcm)
 	if err != nil {
 		panic(err)
@@ -222,7 +222,7 @@
 	return sto.reads, sto.watches, sto.writes
 }
 
-// content returns what the store holds.
+// content returns the document in the store and its revision.
 func (sto *memStore) content() (dcm doc, revision int64) {
 	sto.mut.Lock()
 	defer sto.mut.Unlock()
--- a/internal/fleet/member_test.go
+++ b/internal/fleet/member_test.go
@@ -14,14 +14,14 @@
 
 const (
 	fleetSize = 7
-	// joinTime lets a fleet of 7 find itself.
+	// joinTime is enough for a fleet of 7 to join.
 	joinTime = 10 * time.Second
-	// detectTime exceeds a round of probes of 7 VMs, the timeouts and the suspicion.
+	// detectTime exceeds a round of probes of 7 VMs, the timeouts and the suspicion time.
 	detectTime = 10 * time.Second
 )
 
-// run starts a fleet of 7 in virtual time.
-func run(t *testing.T, fun func(flt *fleet)) {
+// runFleet runs fun on a fleet of 7 VMs in virtual time, after it has joined.
+func runFleet(t *testing.T, fun func(flt *fleet)) {
 	t.Helper()
 	num := seed(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -32,9 +32,9 @@
 	})
 }
 
-// Guards against a VM that is lost and stays in the views of others, or takes others with it.
+// Guards against a killed VM that stays alive in the views of others, or causes others to be declared dead.
 func TestKilledVM(t *testing.T) {
-	run(t, func(flt *fleet) {
+	runFleet(t, func(flt *fleet) {
 		flt.expectAll("after the join", 1, 2, 3, 4, 5, 6, 7)
 		flt.host(1).stop()
 		flt.advance(detectTime)
@@ -43,9 +43,9 @@
 	})
 }
 
-// Guards against a live VM that is declared dead because one direction between two VMs is cut.
+// Guards against a live VM that is declared dead because of a one-way partition between two VMs.
 func TestOneWayCut(t *testing.T) {
-	run(t, func(flt *fleet) {
+	runFleet(t, func(flt *fleet) {
 		flt.net.setCut(address(1), address(2), true)
 		for range 60 {
 			flt.advance(time.Second)
@@ -55,7 +55,7 @@
 	})
 }
 
-// Guards against sides of a partition that stay apart after it has healed.
+// Guards against sides of a partition that do not merge after it has healed.
 func TestHealedPartition(t *testing.T) {
 	for _, tst := range []struct {
 		name string
@@ -66,7 +66,7 @@
 		{name: "longer than the retention", dur: 20 * time.Minute, heal: time.Minute},
 	} {
 		t.Run(tst.name, func(t *testing.T) {
-			run(t, func(flt *fleet) {
+			runFleet(t, func(flt *fleet) {
 				cut := func(on bool) {
 					for _, one := range []int{1, 2, 3} {
 						for _, two := range []int{4, 5, 6, 7} {
@@ -90,14 +90,14 @@
 	}
 }
 
-// Guards against a planned stop that looks like a failure, and against a successor that is forgotten too early.
+// Guards against a planned stop that is treated as a failure, and against a successor that is removed too early.
 func TestLeave(t *testing.T) {
-	run(t, func(flt *fleet) {
+	runFleet(t, func(flt *fleet) {
 		hst := flt.host(3)
 		hst.mbr.AnnounceLeaving()
 		flt.advance(5 * time.Second)
 		flt.expect("after the announcement", 3, cardamompass.StateLeaving, 1, 2, 4, 5, 6, 7)
-		if err := hst.mbr.Leave(flt.t.Context(), vid(4)); err != nil {
+		if err := hst.mbr.Leave(flt.t.Context(), vmID(4)); err != nil {
 			flt.t.Error(err)
 		}
 		hst.stop()
@@ -106,7 +106,7 @@
 			flt.expect("after the leave", 3, cardamompass.StateLeft, 1, 2, 4, 5, 6, 7)
 		}
 		for _, mbr := range flt.host(7).mbr.Members() {
-			if mbr.VM.ID == vid(3) && mbr.Successor != vid(4) {
+			if mbr.VM.ID == vmID(3) && mbr.Successor != vmID(4) {
 				flt.t.Errorf("successor is %q", mbr.Successor)
 			}
 		}
@@ -115,9 +115,9 @@
 	})
 }
 
-// Guards against a leaving VM that dies during its planned stop and stays.
+// Guards against a leaving VM that is killed during its planned stop and stays in the views of others.
 func TestKilledWhileLeaving(t *testing.T) {
-	run(t, func(flt *fleet) {
+	runFleet(t, func(flt *fleet) {
 		flt.host(3).mbr.AnnounceLeaving()
 		flt.advance(3 * time.Second)
 		flt.host(3).stop()
@@ -126,15 +126,16 @@
 	})
 }
 
-// Guards against a restarted VM that is taken for its dead predecessor, and a predecessor that runs on unaware.
+// Guards against a restarted VM that is mistaken for its dead predecessor, and a predecessor that does not detect that it is
+// superseded.
 func TestRestart(t *testing.T) {
-	run(t, func(flt *fleet) {
+	runFleet(t, func(flt *fleet) {
 		old := flt.host(2)
 		flt.start(2, 2)
 		flt.advance(joinTime)
 		flt.expectAll("after the restart", 1, 2, 3, 4, 5, 6, 7)
 		for _, mbr := range flt.host(5).mbr.Members() {
-			if mbr.VM.ID == vid(2) && mbr.VM.Incarnation != 2 {
+			if mbr.VM.ID == vmID(2) && mbr.VM.Incarnation != 2 {
 				flt.t.Errorf("incarnation %d", mbr.VM.Incarnation)
 			}
 		}
@@ -149,22 +150,22 @@
 	})
 }
 
-// Guards against false verdicts on a network that loses and delays messages.
+// Guards against live VMs that stay suspect or dead after a period of lost and delayed messages.
 func TestLossyNetwork(t *testing.T) {
-	run(t, func(flt *fleet) {
+	runFleet(t, func(flt *fleet) {
 		flt.net.mut.Lock()
-		flt.net.drop, flt.net.delay = 0.05, 40*time.Millisecond
+		flt.net.loss, flt.net.delay = 0.05, 40*time.Millisecond
 		flt.net.mut.Unlock()
 		flt.advance(10 * time.Minute)
 		flt.net.mut.Lock()
-		flt.net.drop = 0
+		flt.net.loss = 0
 		flt.net.mut.Unlock()
 		flt.advance(detectTime)
 		flt.expectAll("after the losses", 1, 2, 3, 4, 5, 6, 7)
 	})
 }
 
-// Guards against seeds that are asked only once, and against a list of VMs that is not used or removes members.
+// Guards against seeds that are contacted only once, and against a list of VMs that is not used or that removes members.
 func TestJoinWithoutSeeds(t *testing.T) {
 	num := seed(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -178,7 +179,7 @@
 		flt.expect("without seeds", 4, -1, 3)
 		flt.host(3).mbr.ProbeListed([]cardamompass.ListedVM{
 			{
-				Name:    string(vid(4)),
+				Name:    string(vmID(4)),
 				Address: address(4),
 			},
 		})
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -1,5 +1,5 @@
-// Package fleet_test tests the packages below together: whole fleets in one process, on a network in memory and in the
-// virtual time of testing/synctest, so that no verdict depends on the speed of the machine.
+// Package fleet_test tests the packages below together: whole fleets in one process, on a network in memory and in the virtual
+// time of testing/synctest, so that no result depends on the speed of the machine.
 package fleet_test
 
 import (
@@ -24,7 +24,7 @@
 
 var seedFlag = flag.Int64("seed", 0, "seed of the random choices; 0 takes a new one")
 
-// seed returns the seed of a test and prints it.
+// seed returns the seed of a test and logs it.
 func seed(t testing.TB) (num int64) {
 	num = *seedFlag
 	if num == 0 {
@@ -39,9 +39,9 @@
 	mut   sync.Mutex
 	rng   *rand.Rand
 	hosts map[string]*host
-	// cut holds the directions, as from and to, in which nothing gets through.
+	// cut holds the directions, as from and to, in which all messages are lost.
 	cut   map[[2]string]bool
-	drop  float64
+	loss  float64
 	delay time.Duration
 }
 
@@ -63,11 +63,11 @@
 	}
 }
 
-// passes reports whether one message gets through and to whom.
-func (ntw *network) passes(from, to string) (hst *host, ok bool) {
+// deliver waits for the delay of one message and returns its recipient; ok is false if the message is lost.
+func (ntw *network) deliver(from, to string) (hst *host, ok bool) {
 	ntw.mut.Lock()
 	delay := time.Duration(float64(ntw.delay) * (0.5 + ntw.rng.Float64()))
-	ok = !ntw.cut[[2]string{from, to}] && ntw.rng.Float64() >= ntw.drop
+	ok = !ntw.cut[[2]string{from, to}] && ntw.rng.Float64() >= ntw.loss
 	ntw.mut.Unlock()
 	time.Sleep(delay)
 	ntw.mut.Lock()
@@ -84,10 +84,10 @@
 
 // Call implements cardamompass.PeerCaller.
 func (hst *host) Call(ctx context.Context, address, method string, args, reply any) (err error) {
-	other, ok := hst.net.passes(hst.vm.PeerAddress, address)
+	other, ok := hst.net.deliver(hst.vm.PeerAddress, address)
 	if ok {
 		err = other.serve(ctx, method, args, reply)
-		_, ok = hst.net.passes(address, hst.vm.PeerAddress)
+		_, ok = hst.net.deliver(address, hst.vm.PeerAddress)
 	}
 	if !ok {
 		<-ctx.Done()
@@ -118,58 +118,58 @@
 		arg A
 		rep R
 	)
-	if err = replicate(args, &arg); err != nil {
+	if err = copyValue(args, &arg); err != nil {
 		return err
 	}
 	if err = fun(arg, &rep); err != nil {
 		return err
 	}
-	return replicate(rep, reply)
+	return copyValue(rep, reply)
 }
 
-// pipe copies values of one type through gob. Its encoder is kept because a new one costs much more than a message.
-type pipe struct {
+// gobCopier copies values of one type through gob. Its encoder is reused because creating one costs much more than a message.
+type gobCopier struct {
 	mut sync.Mutex
 	buf bytes.Buffer
 	enc *gob.Encoder
 	dec *gob.Decoder
 }
 
-var pipes sync.Map
+var gobCopiers sync.Map
 
-func replicate(from, to any) (err error) {
-	fresh := &pipe{}
+func copyValue(from, to any) (err error) {
+	fresh := &gobCopier{}
 	fresh.enc, fresh.dec = gob.NewEncoder(&fresh.buf), gob.NewDecoder(&fresh.buf)
-	val, _ := pipes.LoadOrStore(reflect.TypeOf(to), fresh)
-	pip := val.(*pipe)
-	pip.mut.Lock()
-	defer pip.mut.Unlock()
-	if err = pip.enc.Encode(from); err != nil {
+	val, _ := gobCopiers.LoadOrStore(reflect.TypeOf(to), fresh)
+	gcp := val.(*gobCopier)
+	gcp.mut.Lock()
+	defer gcp.mut.Unlock()
+	if err = gcp.enc.Encode(from); err != nil {
 		return err
 	}
-	return pip.dec.Decode(to)
+	return gcp.dec.Decode(to)
 }
 
 // fleet is a set of VMs with one store.
 type fleet struct {
-	t     *testing.T
-	net   *network
-	store *memStore
-	num   int64
-	size  int
+	t          *testing.T
+	net        *network
+	store      *memStore
+	randomSeed int64
+	size       int
 }
 
 func address(num int) string { return fmt.Sprintf("10.0.0.%d:7000", num) }
 
-func vid(num int) cardamompass.VMID { return cardamompass.VMID(fmt.Sprintf("vm-%d", num)) }
+func vmID(num int) cardamompass.VMID { return cardamompass.VMID(fmt.Sprintf("vm-%d", num)) }
 
 func newFleet(t *testing.T, num int64, size int) (flt *fleet) {
 	flt = &fleet{
-		t:     t,
-		net:   newNetwork(num),
-		store: newMemStore(),
-		num:   num,
-		size:  size,
+		t:          t,
+		net:        newNetwork(num),
+		store:      newMemStore(),
+		randomSeed: num,
+		size:       size,
 	}
 	for vm := 1; vm <= size; vm++ {
 		flt.start(vm, 1)
@@ -177,22 +177,22 @@
 	return flt
 }
 
-// start runs a VM; all VMs have the first two as seeds.
+// start starts a VM. All VMs have the first two as seeds.
 func (flt *fleet) start(num int, inc cardamompass.Incarnation) {
 	hst := &host{
 		net: flt.net,
 		vm: cardamompass.VM{
-			ID:          vid(num),
+			ID:          vmID(num),
 			Incarnation: inc,
 			PeerAddress: address(num),
 		},
 	}
-	flt.num++
+	flt.randomSeed++
 	mbr, stopMember, err := member.New(member.Config{
 		Machine: member.MachineConfig{
 			Self:       hst.vm,
 			Seeds:      []string{address(1), address(2)},
-			RandomSeed: flt.num,
+			RandomSeed: flt.randomSeed,
 		},
 		Caller: hst,
 	})
@@ -203,7 +203,7 @@
 		Core: spread.CoreConfig[doc]{
 			Key:        "catalogue",
 			Codec:      codec,
-			RandomSeed: flt.num,
+			RandomSeed: flt.randomSeed,
 		},
 		Store:   flt.store,
 		Caller:  hst,
@@ -242,7 +242,7 @@
 	synctest.Wait()
 }
 
-// stopAll ends all VMs; a bubble of synctest must not leave goroutines.
+// stopAll stops all VMs; no goroutine may remain in a bubble of synctest.
 func (flt *fleet) stopAll() {
 	for num := 1; num <= flt.size; num++ {
 		if hst := flt.host(num); hst != nil {
@@ -251,18 +251,18 @@
 	}
 }
 
-// expect checks the state that each of the observers has of one VM.
+// expect checks the state of one VM in the views of the observers.
 func (flt *fleet) expect(when string, num int, want cardamompass.MemberState, observers ...int) {
 	flt.t.Helper()
 	for _, obs := range observers {
 		got := cardamompass.MemberState(-1)
 		for _, mbr := range flt.host(obs).mbr.Members() {
-			if mbr.VM.ID == vid(num) {
+			if mbr.VM.ID == vmID(num) {
 				got = mbr.State
 			}
 		}
 		if got != want {
-			flt.t.Errorf("%s: %s sees %s as %s, want %s", when, vid(obs), vid(num), got, want)
+			flt.t.Errorf("%s: %s sees %s as %s, want %s", when, vmID(obs), vmID(num), got, want)
 		}
 	}
 }
--- a/internal/fleet/share/ledger.go
+++ b/internal/fleet/share/ledger.go
@@ -129,7 +129,7 @@
 	// CatalogueVersion is the version of the catalogue that Resource was taken from.
 	CatalogueVersion int64
 	// ConfirmedUnits is the number of units that the owner may count on. It is below the ledger's figure after a write
-	// whose answer was lost, and after the store was restored to an older state. The smaller figure counts.
+	// whose reply was lost, and after the store was restored to an older state. The smaller figure counts.
 	ConfirmedUnits int64
 	// MembersWithoutEntry is the number of alive members that have no entry yet. Units are set aside for them, so that
 	// the first owner does not take everything.
--- a/internal/fleet/share/pool.go
+++ b/internal/fleet/share/pool.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// SetResources replaces the caps in force by those of a catalogue version. Units of a resource that is no longer listed
+// SetResources replaces the active caps by those of a catalogue version. Units of a resource that is no longer listed
 // can't be used.
 func (pol *Pool) SetResources(resources []Resource, version int64) {
 	now := pol.cfg.Clock.Now()
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -19,74 +19,74 @@
 type sim struct {
 	rng   *rand.Rand
 	now   time.Time
-	queue agenda
+	queue actionQueue
 	order int
 	nodes []*node
 	store simStore
 	loss  float64
 	// latency is the mean time of one message, one way.
 	latency time.Duration
-	// carry is set when probes carry the summaries of documents.
-	carry  bool
-	fanout int
-	wire   *wire
-	// dirty is set when a view or document changed.
-	dirty     bool
+	// attachSummaries is set when probes carry the summaries of documents.
+	attachSummaries bool
+	fanout          int
+	wire            *wireMeter
+	// changed is set when a view or a document has changed.
+	changed   bool
 	byAddress map[string]*node
 }
 
 type action struct {
 	at    time.Time
 	order int
-	fun   func()
+	run   func()
 }
 
-// agenda is a heap of actions in the order of their times.
-type agenda []action
+// actionQueue is a heap of actions ordered by time.
+type actionQueue []action
 
-func (agd agenda) Len() int { return len(agd) }
-func (agd agenda) Less(one, two int) bool {
-	if agd[one].at.Equal(agd[two].at) {
-		return agd[one].order < agd[two].order
+func (acq actionQueue) Len() int { return len(acq) }
+func (acq actionQueue) Less(one, two int) bool {
+	if acq[one].at.Equal(acq[two].at) {
+		return acq[one].order < acq[two].order
 	}
-	return agd[one].at.Before(agd[two].at)
+	return acq[one].at.Before(acq[two].at)
 }
-func (agd agenda) Swap(one, two int) { agd[one], agd[two] = agd[two], agd[one] }
-func (agd *agenda) Push(val any)     { *agd = append(*agd, val.(action)) }
-func (agd *agenda) Pop() any {
-	old := *agd
+func (acq actionQueue) Swap(one, two int) { acq[one], acq[two] = acq[two], acq[one] }
+func (acq *actionQueue) Push(val any)     { *acq = append(*acq, val.(action)) }
+func (acq *actionQueue) Pop() any {
+	old := *acq
 	val := old[len(old)-1]
-	*agd = old[:len(old)-1]
+	*acq = old[:len(old)-1]
 	return val
 }
 
 // node is one VM of a simulation.
 type node struct {
-	sim     *sim
-	num     int
-	vm      cardamompass.VM
-	mch     *member.Machine
-	cor     *spread.Core[doc]
-	down    bool
-	tickAt  time.Time
-	coreAt  time.Time
-	pending bool // a change of peers is to be reported
+	sim          *sim
+	num          int
+	vm           cardamompass.VM
+	mch          *member.Machine
+	cor          *spread.Core[doc]
+	down         bool
+	memberDue    time.Time
+	spreadDue    time.Time
+	peersPending bool // a report of changed peers is scheduled
 
 	memberBytes int
 	spreadBytes int
 	calls       int
 	cpu         time.Duration
-	last        map[int]time.Time
+	lastContact map[int]time.Time
 }
 
 func newSim(num int64, size int) (sml *sim) {
 	sml = &sim{
-		rng:       rand.New(rand.NewSource(num)),
-		now:       time.Unix(1_000_000, 0),
-		latency:   10 * time.Millisecond,
-		carry:     true,
-		wire:      newWire(),
-		byAddress: map[string]*node{},
+		rng:             rand.New(rand.NewSource(num)),
+		now:             time.Unix(1_000_000, 0),
+		latency:         10 * time.Millisecond,
+		attachSummaries: true,
+		wire:            newWireMeter(),
+		byAddress:       map[string]*node{},
 	}
 	for vm := range size {
 		nod := sml.newNode(vm)
@@ -108,7 +108,7 @@
 			CallerAddress: fmt.Sprintf("10.20.%d.%d:8443", num/250, num%250),
 			PeerAddress:   simAddress(num),
 		},
-		last: map[int]time.Time{},
+		lastContact: map[int]time.Time{},
 	}
 	nod.mch = member.NewMachine(member.MachineConfig{
 		Self:       nod.vm,
@@ -121,8 +121,8 @@
 
 func simAddress(num int) string { return fmt.Sprintf("10.20.%d.%d:7443", num/250, num%250) }
 
-// begin starts all nodes; fanout is that of the dissemination, whose probes carry summaries if carry is set.
-func (sml *sim) begin() {
+// start starts all nodes.
+func (sml *sim) start() {
 	for _, nod := range sml.nodes {
 		nod.cor = spread.NewCore(spread.CoreConfig[doc]{
 			Self:       nod.vm.ID,
@@ -141,36 +141,37 @@
 	heap.Push(&sml.queue, action{
 		at:    sml.now.Add(max(0, dur)),
 		order: sml.order,
-		fun:   fun,
+		run:   fun,
 	})
 }
 
-// run lets simulated time pass.
+// run advances simulated time by dur.
 func (sml *sim) run(dur time.Duration) { sml.runUntil(dur, func() bool { return false }) }
 
-// runUntil lets simulated time pass until done, which is asked after each change of a view or document, and returns the time that passed.
+// runUntil advances simulated time until done returns true, for at most dur, and returns the time that passed. done is called after
+// each change of a view or a document.
 func (sml *sim) runUntil(dur time.Duration, done func() bool) time.Duration {
 	begin := sml.now
 	end := begin.Add(dur)
-	sml.dirty = true
+	sml.changed = true
 	for len(sml.queue) > 0 && !sml.queue[0].at.After(end) {
-		if sml.dirty && done() {
+		if sml.changed && done() {
 			return sml.now.Sub(begin)
 		}
-		sml.dirty = false
+		sml.changed = false
 		act := heap.Pop(&sml.queue).(action)
 		sml.now = act.at
-		act.fun()
+		act.run()
 	}
 	sml.now = end
 	return sml.now.Sub(begin)
 }
 
-func (sml *sim) travel() time.Duration {
+func (sml *sim) delay() time.Duration {
 	return time.Duration(float64(sml.latency) * (0.5 + sml.rng.Float64()))
 }
 
-// call sends a request to a node, has it served there and delivers the answer, or reports a miss after the timeout.
+// call sends a request to a node, runs serve there and then runs answer, or runs missed after the timeout.
 func (nod *node) call(to *node, timeout time.Duration, serve func(), answer, missed func()) {
 	sml := nod.sim
 	lost := func() bool { return sml.rng.Float64() < sml.loss }
@@ -184,7 +185,7 @@
 	if to == nil || lost() {
 		return
 	}
-	sml.after(sml.travel(), func() {
+	sml.after(sml.delay(), func() {
 		if to.down {
 			return
 		}
@@ -192,7 +193,7 @@
 		if lost() {
 			return
 		}
-		sml.after(sml.travel(), func() {
+		sml.after(sml.delay(), func() {
 			if !settled && !nod.down {
 				settled = true
 				answer()
@@ -201,25 +202,25 @@
 	})
 }
 
-// schedule plans the next ticks.
+// schedule schedules the next ticks.
 func (nod *node) schedule() {
 	sml := nod.sim
-	if due := nod.mch.Next(); nod.tickAt.IsZero() || due.Before(nod.tickAt) {
-		nod.tickAt = due
+	if due := nod.mch.Next(); nod.memberDue.IsZero() || due.Before(nod.memberDue) {
+		nod.memberDue = due
 		sml.after(due.Sub(sml.now), func() {
-			if nod.tickAt.Equal(due) && !nod.down {
-				nod.tickAt = time.Time{}
+			if nod.memberDue.Equal(due) && !nod.down {
+				nod.memberDue = time.Time{}
 				nod.member(member.Tick{
 					Now: sml.now,
 				})
 			}
 		})
 	}
-	if due := nod.cor.Next(); !due.IsZero() && (nod.coreAt.IsZero() || due.Before(nod.coreAt)) {
-		nod.coreAt = due
+	if due := nod.cor.Next(); !due.IsZero() && (nod.spreadDue.IsZero() || due.Before(nod.spreadDue)) {
+		nod.spreadDue = due
 		sml.after(due.Sub(sml.now), func() {
-			if nod.coreAt.Equal(due) && !nod.down {
-				nod.coreAt = time.Time{}
+			if nod.spreadDue.Equal(due) && !nod.down {
+				nod.spreadDue = time.Time{}
 				nod.spread(spread.Tick{
 					Now: sml.now,
 				})
@@ -228,60 +229,60 @@
 	}
 }
 
-// wire measures the size of messages on a connection that has carried their types before.
-type wire struct {
+// wireMeter measures the size of messages on a connection on which their types have been sent before.
+type wireMeter struct {
 	enc  map[reflect.Type]*gob.Encoder
 	size int
-	// payload is what a summary adds to a message.
-	payload int
-	// connection is the size of the handshake and of the types on a new connection, as measured over loopback.
-	connection int
+	// summarySize is the number of bytes that a summary adds to a message.
+	summarySize int
+	// connectionSize is the size of the handshake and of the types on a new connection, as measured over loopback.
+	connectionSize int
 }
 
-func newWire() *wire {
-	wir := &wire{
+func newWireMeter() *wireMeter {
+	wmt := &wireMeter{
 		enc: map[reflect.Type]*gob.Encoder{},
 	}
-	wir.payload = wir.measure(member.Message{
+	wmt.summarySize = wmt.messageSize(member.Message{
 		Payloads: summaryPayload(spread.Summary{}),
-	}) - wir.measure(member.Message{})
-	return wir
+	}) - wmt.messageSize(member.Message{})
+	return wmt
 }
 
-// Write counts what an encoder writes.
-func (wir *wire) Write(buf []byte) (int, error) {
-	wir.size += len(buf)
+// Write counts the bytes that an encoder writes.
+func (wmt *wireMeter) Write(buf []byte) (int, error) {
+	wmt.size += len(buf)
 	return len(buf), nil
 }
 
 // frameOverhead is the prefix and header of a request or reply, rounded from BenchmarkWire.
 const frameOverhead = 24
 
-func (wir *wire) measure(val any) int {
+func (wmt *wireMeter) messageSize(val any) int {
 	typ := reflect.TypeOf(val)
-	enc := wir.enc[typ]
+	enc := wmt.enc[typ]
 	if enc == nil {
-		enc = gob.NewEncoder(wir)
-		wir.enc[typ] = enc
+		enc = gob.NewEncoder(wmt)
+		wmt.enc[typ] = enc
 		if err := enc.Encode(val); err != nil {
 			panic(err)
 		}
 	}
-	before := wir.size
+	before := wmt.size
 	if err := enc.Encode(val); err != nil {
 		panic(err)
 	}
-	return wir.size - before + frameOverhead
+	return wmt.size - before + frameOverhead
 }
 
-// count adds a message to both ends; spread tells which part belongs to the dissemination.
-func (nod *node) count(to *node, val any, payload int) {
-	size := nod.sim.wire.measure(val)
+// countMember adds the size of a message to the counters of both ends; payload is the part that belongs to the dissemination.
+func (nod *node) countMember(to *node, val any, payload int) {
+	size := nod.sim.wire.messageSize(val)
 	fresh := 0
-	if nod.sim.now.Sub(nod.last[to.num]) > peer.DefaultClientIdleTimeout {
-		fresh = nod.sim.wire.connection
+	if nod.sim.now.Sub(nod.lastContact[to.num]) > peer.DefaultClientIdleTimeout {
+		fresh = nod.sim.wire.connectionSize
 	}
-	nod.last[to.num] = nod.sim.now
+	nod.lastContact[to.num] = nod.sim.now
 	for _, end := range []*node{nod, to} {
 		end.memberBytes += size - payload + fresh
 		end.spreadBytes += payload
--- a/internal/fleet/simnode_test.go
+++ b/internal/fleet/simnode_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// member feeds one event to the membership and carries out its effects.
+// member applies one event to the membership and executes its effects.
 func (nod *node) member(evt member.Event) (reply member.Message, relayed []member.Ping) {
 	begin := time.Now()
 	effects := nod.mch.Apply(evt)
@@ -25,7 +25,7 @@
 	for _, eff := range effects {
 		switch eff := eff.(type) {
 		case member.Reply:
-			reply = nod.dress(eff.Message)
+			reply = nod.withPayload(eff.Message)
 		case member.Ping:
 			if eff.Relay {
 				relayed = append(relayed, eff)
@@ -35,7 +35,7 @@
 		case member.PingReq:
 			nod.pingReq(eff)
 		case member.Changed:
-			nod.sim.dirty = true
+			nod.sim.changed = true
 			nod.peersChanged()
 		}
 	}
@@ -43,14 +43,14 @@
 	return reply, relayed
 }
 
-// peersChanged reports the peers to the dissemination once for many changes.
+// peersChanged schedules a report of the peers to the dissemination. Changes in quick succession cause one report.
 func (nod *node) peersChanged() {
-	if nod.pending {
+	if nod.peersPending {
 		return
 	}
-	nod.pending = true
+	nod.peersPending = true
 	nod.sim.after(100*time.Millisecond, func() {
-		nod.pending = false
+		nod.peersPending = false
 		evt := spread.PeersChanged{
 			Now: nod.sim.now,
 		}
@@ -63,23 +63,23 @@
 	})
 }
 
-// dress adds the payload to a message.
-func (nod *node) dress(msg member.Message) member.Message {
-	if nod.sim.carry {
+// withPayload returns a message with the payload of the dissemination attached.
+func (nod *node) withPayload(msg member.Message) member.Message {
+	if nod.sim.attachSummaries {
 		msg.Payloads = summaryPayload(nod.cor.Summary())
 	}
 	return msg
 }
 
-func (nod *node) payload() int {
-	if nod.sim.carry {
-		return nod.sim.wire.payload
+func (nod *node) payloadSize() int {
+	if nod.sim.attachSummaries {
+		return nod.sim.wire.summarySize
 	}
 	return 0
 }
 
-// consume takes the payload of a message.
-func (nod *node) consume(msg member.Message) {
+// handlePayload passes the payload of a message to the dissemination.
+func (nod *node) handlePayload(msg member.Message) {
 	for _, pld := range msg.Payloads {
 		if sum, ok := spread.ParseSummary(pld.Data); ok {
 			nod.spread(spread.SummaryReceived{
@@ -94,10 +94,10 @@
 func (nod *node) ping(png member.Ping, done func(ok bool, from cardamompass.Member)) {
 	sml := nod.sim
 	to := sml.byAddress[png.Address]
-	msg := nod.dress(png.Message)
+	msg := nod.withPayload(png.Message)
 	nod.calls++
 	if to != nil {
-		nod.count(to, msg, nod.payload())
+		nod.countMember(to, msg, nod.payloadSize())
 	}
 	var reply member.Message
 	nod.call(to, png.Timeout, func() {
@@ -106,15 +106,15 @@
 			Now:     sml.now,
 			Message: msg,
 		})
-		to.consume(msg)
-		to.count(nod, reply, nod.payload())
+		to.handlePayload(msg)
+		to.countMember(nod, reply, nod.payloadSize())
 	}, func() {
 		nod.member(member.ProbeAnswered{
 			Now:     sml.now,
 			Probe:   png.Probe,
 			Message: reply,
 		})
-		nod.consume(reply)
+		nod.handlePayload(reply)
 		done(true, reply.From)
 	}, func() {
 		nod.member(member.ProbeFailed{
@@ -129,8 +129,8 @@
 	sml := nod.sim
 	to := sml.byAddress[req.Address]
 	args := req.Request
-	args.Message = nod.dress(args.Message)
-	nod.count(to, args, nod.payload())
+	args.Message = nod.withPayload(args.Message)
+	nod.countMember(to, args, nod.payloadSize())
 	settled := false
 	finish := func(evt member.Event) {
 		if !settled && !nod.down {
@@ -138,7 +138,7 @@
 			nod.member(evt)
 		}
 	}
-	// The answer follows the relay's own probe, so it is sent as a second call.
+	// The reply is sent after the relay's own probe, so it is simulated as a second call.
 	nod.call(to, req.Timeout, func() {
 		reply, pings := to.member(member.RelayReceived{
 			Now:     sml.now,
@@ -146,14 +146,14 @@
 		})
 		for _, png := range pings {
 			to.ping(png, func(ok bool, from cardamompass.Member) {
-				to.count(nod, reply, nod.payload())
+				to.countMember(nod, reply, nod.payloadSize())
 				if !ok || from.VM.ID != args.Target.VM.ID || sml.rng.Float64() < sml.loss {
 					return
 				}
 				reply.Updates = append(reply.Updates, member.Update{
 					Member: from,
 				})
-				sml.after(sml.travel(), func() {
+				sml.after(sml.delay(), func() {
 					finish(member.ProbeAnswered{
 						Now:     sml.now,
 						Probe:   req.Probe,
@@ -171,12 +171,12 @@
 	})
 }
 
-// spread feeds one event to the dissemination and carries out its effects.
+// spread applies one event to the dissemination and executes its effects.
 func (nod *node) spread(evt spread.Event) (push spread.PushReply, pull spread.PullReply) {
 	for _, eff := range nod.cor.Apply(evt) {
 		switch eff := eff.(type) {
 		case spread.Changed:
-			nod.sim.dirty = true
+			nod.sim.changed = true
 		case spread.PushAnswer:
 			push = eff.Reply
 		case spread.PullAnswer:
@@ -204,9 +204,9 @@
 	return nil
 }
 
-// countSpread adds a message of the dissemination to both ends.
+// countSpread adds the size of a message of the dissemination to the counters of both ends.
 func (nod *node) countSpread(to *node, val any) {
-	size := nod.sim.wire.measure(val)
+	size := nod.sim.wire.messageSize(val)
 	nod.spreadBytes += size
 	to.spreadBytes += size
 }
@@ -262,7 +262,7 @@
 	waiters []func()
 }
 
-// watch answers when the revision is later than the known one or the wait is over.
+// watch replies when the revision is greater than the known one or the wait is over.
 func (sst *simStore) watch(nod *node, eff spread.Watch) {
 	sst.calls++
 	done := false
@@ -271,7 +271,7 @@
 			return
 		}
 		done = true
-		nod.sim.after(nod.sim.travel(), func() { sst.answer(nod, eff.Call) })
+		nod.sim.after(nod.sim.delay(), func() { sst.answer(nod, eff.Call) })
 	}
 	if sst.val.Revision > eff.After {
 		answer()
@@ -283,7 +283,7 @@
 
 func (sst *simStore) get(nod *node, eff spread.Get) {
 	sst.calls++
-	nod.sim.after(2*nod.sim.travel(), func() { sst.answer(nod, eff.Call) })
+	nod.sim.after(2*nod.sim.delay(), func() { sst.answer(nod, eff.Call) })
 }
 
 func (sst *simStore) answer(nod *node, call uint64) {
--- a/internal/fleet/spread_test.go
+++ b/internal/fleet/spread_test.go
@@ -8,8 +8,8 @@
 	"cardamompass"
 )
 
-// inForce checks that all VMs of the test have the content of want.
-func (flt *fleet) inForce(when string, want doc) {
+// expectDocument checks that all running VMs have the content of want.
+func (flt *fleet) expectDocument(when string, want doc) {
 	flt.t.Helper()
 	for num := 1; num <= flt.size; num++ {
 		hst := flt.host(num)
@@ -17,13 +17,13 @@
 			continue
 		}
 		if got, ok := hst.spr.Current(); !ok || got.Digest() != want.Digest() {
-			flt.t.Errorf("%s: %s has version %d (ok=%v), want version %d", when, vid(num), got.Version(), ok, want.Version())
+			flt.t.Errorf("%s: %s has version %d (ok=%v), want version %d", when, vmID(num), got.Version(), ok, want.Version())
 		}
 	}
 }
 
-// stored checks the content of the store.
-func (flt *fleet) stored(when string, want doc) {
+// expectStored checks that the store has the content of want.
+func (flt *fleet) expectStored(when string, want doc) {
 	flt.t.Helper()
 	if got, rev := flt.store.content(); got.Digest() != want.Digest() {
 		flt.t.Errorf("%s: store has version %d at revision %d, want version %d", when, got.Version(), rev, want.Version())
@@ -32,42 +32,42 @@
 
 var base = doc{}.with("a", 1).with("b", 2)
 
-// runSpread starts a fleet whose store holds the base document.
+// runSpread runs fun on a fleet whose VMs and store have the base document.
 func runSpread(t *testing.T, fun func(flt *fleet)) {
 	t.Helper()
-	run(t, func(flt *fleet) {
-		flt.store.force(base, 5)
+	runFleet(t, func(flt *fleet) {
+		flt.store.overwrite(base, 5)
 		flt.advance(10 * time.Second)
-		flt.inForce("at the start", base)
+		flt.expectDocument("at the start", base)
 		fun(flt)
 	})
 }
 
-// Guards against edits that miss VMs or are late, and against calls of the store by VMs that need not call it.
+// Guards against edits that do not reach all VMs or reach them late, and against unnecessary calls of the store.
 func TestEditReachesAll(t *testing.T) {
 	runSpread(t, func(flt *fleet) {
 		reads, watches, _ := flt.store.calls()
 		next := base
 		for version := int64(3); version < 13; version++ {
 			next = next.with("a", version)
-			flt.store.force(next, version+10)
+			flt.store.overwrite(next, version+10)
 			flt.advance(time.Second)
-			flt.inForce("after an edit", next)
+			flt.expectDocument("after an edit", next)
 		}
 		flt.advance(10 * time.Minute)
 		newReads, newWatches, writes := flt.store.calls()
 		if newReads != reads || writes != 0 {
 			t.Errorf("%d reads and %d writes, want none", newReads-reads, writes)
 		}
-		// Three watchers, one call for each edit and one each 30 s.
+		// Three watchers, each with one call for each edit and one every 30 s.
 		if cnt := newWatches - watches; cnt > 3*(10+21) {
 			t.Errorf("%d watches", cnt)
 		}
 	})
 }
 
-// Guards against a dependence on the store: during an outage VMs start, edits that were accepted elsewhere spread, and
-// afterwards the store gets what it lacks from one VM.
+// Guards against a dependence on the store: during an outage VMs can start and edits that were accepted elsewhere are
+// disseminated, and afterwards one VM writes the missing edits to the store.
 func TestStoreOutage(t *testing.T) {
 	runSpread(t, func(flt *fleet) {
 		flt.store.setDown(true)
@@ -75,11 +75,11 @@
 		next := base.with("c", 3)
 		flt.host(4).spr.Offer(next)
 		flt.advance(2 * time.Second)
-		flt.inForce("during the outage", next)
+		flt.expectDocument("during the outage", next)
 		flt.host(5).stop()
 		flt.start(5, 2)
 		flt.advance(5 * time.Second)
-		flt.inForce("after a start during the outage", next)
+		flt.expectDocument("after a start during the outage", next)
 		_, before, _ := flt.store.calls()
 		flt.advance(10 * time.Minute)
 		// Three watchers with delays of 2.5 s to 7.5 s.
@@ -88,11 +88,11 @@
 		}
 		flt.store.setDown(false)
 		flt.advance(30 * time.Second)
-		flt.stored("after the outage", next)
+		flt.expectStored("after the outage", next)
 		if _, _, writes := flt.store.calls(); writes != 1 {
 			t.Errorf("%d writes, want 1", writes)
 		}
-		flt.inForce("after the outage", next)
+		flt.expectDocument("after the outage", next)
 	})
 }
 
@@ -102,7 +102,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		flt := newFleet(t, num, 0)
 		flt.size = fleetSize
-		flt.store.force(base, 5)
+		flt.store.overwrite(base, 5)
 		flt.store.setDown(true)
 		defer flt.stopAll()
 		for vm := 1; vm <= fleetSize; vm++ {
@@ -114,49 +114,49 @@
 		}
 		flt.store.setDown(false)
 		flt.advance(15 * time.Second)
-		flt.inForce("after the outage", base)
+		flt.expectDocument("after the outage", base)
 	})
 }
 
-// Guards against an answer of the store that was under way for long and replaces what came by another way.
+// Guards against a delayed response of the store that replaces a newer document from another source.
 func TestLateWatchAnswer(t *testing.T) {
 	runSpread(t, func(flt *fleet) {
 		flt.store.mut.Lock()
-		flt.store.late = 20 * time.Second
+		flt.store.delay = 20 * time.Second
 		flt.store.mut.Unlock()
-		flt.store.force(base.with("a", 3), 6)
+		flt.store.overwrite(base.with("a", 3), 6)
 		next := base.with("a", 4).with("c", 5)
 		flt.host(2).spr.Offer(next)
 		for range 40 {
 			flt.advance(time.Second)
-			flt.inForce("around the late answer", next)
+			flt.expectDocument("around the late answer", next)
 		}
 		flt.advance(time.Minute)
-		flt.stored("after the late answer", next)
+		flt.expectStored("after the late answer", next)
 	})
 }
 
-// Guards against a store that was set back and takes the fleet with it.
+// Guards against a store that was restored to an older state and makes the fleet revert as well.
 func TestRestoredStore(t *testing.T) {
 	for _, tst := range []struct {
 		name     string
 		revision int64
 	}{
-		{name: "revision went back", revision: 3},
-		{name: "revision is the same", revision: 9},
-		{name: "revision went on", revision: 11},
+		{name: "lower revision", revision: 3},
+		{name: "same revision", revision: 9},
+		{name: "higher revision", revision: 11},
 	} {
 		t.Run(tst.name, func(t *testing.T) {
 			runSpread(t, func(flt *fleet) {
 				next := base.with("a", 7).with("c", 8)
-				flt.store.force(next, 9)
+				flt.store.overwrite(next, 9)
 				flt.advance(5 * time.Second)
-				flt.store.force(base, tst.revision)
+				flt.store.overwrite(base, tst.revision)
 				for range 90 {
 					flt.advance(time.Second)
-					flt.inForce("after the restoration", next)
+					flt.expectDocument("after the restoration", next)
 				}
-				flt.stored("after the restoration", next)
+				flt.expectStored("after the restoration", next)
 				if _, _, writes := flt.store.calls(); writes != 1 {
 					t.Errorf("%d writes, want 1", writes)
 				}
@@ -165,21 +165,21 @@
 	}
 }
 
-// Guards against two documents of one version that stay apart because only parts after a version are exchanged: an
-// edit on a restored store reuses version numbers that edits before the restoration had.
+// Guards against two documents of the same version that never converge because only the entries after a version are exchanged:
+// an edit on a restored store reuses version numbers of edits before the restoration.
 func TestReusedVersions(t *testing.T) {
 	runSpread(t, func(flt *fleet) {
-		flt.store.force(base.with("c", 3), 6)
+		flt.store.overwrite(base.with("c", 3), 6)
 		flt.advance(5 * time.Second)
-		flt.store.force(base.with("d", 3), 7)
+		flt.store.overwrite(base.with("d", 3), 7)
 		flt.advance(time.Minute)
 		want := base.with("c", 3).with("d", 3)
-		flt.inForce("after the reuse", want)
-		flt.stored("after the reuse", want)
+		flt.expectDocument("after the reuse", want)
+		flt.expectStored("after the reuse", want)
 	})
 }
 
-// Guards against unreadable content in the store that displaces the document in force or floods the store with calls.
+// Guards against invalid content in the store that replaces the active document or causes excessive calls of the store.
 func TestUnreadableStore(t *testing.T) {
 	runSpread(t, func(flt *fleet) {
 		_, before, _ := flt.store.calls()
@@ -187,19 +187,19 @@
 		flt.store.set([]byte("not a document"), 6)
 		flt.store.mut.Unlock()
 		flt.advance(2 * time.Minute)
-		flt.inForce("with unreadable content", base)
+		flt.expectDocument("with unreadable content", base)
 		_, after, writes := flt.store.calls()
 		if after-before > 3*8 || writes != 0 {
 			t.Errorf("%d watches and %d writes", after-before, writes)
 		}
 		next := base.with("c", 3)
-		flt.store.force(next, 7)
+		flt.store.overwrite(next, 7)
 		flt.advance(10 * time.Second)
-		flt.inForce("after the repair", next)
+		flt.expectDocument("after the repair", next)
 	})
 }
 
-// Guards against a watch that ends with its VM and is not taken over.
+// Guards against a watch that no other VM takes over when its VM leaves.
 func TestWatcherLeaves(t *testing.T) {
 	runSpread(t, func(flt *fleet) {
 		next := base
@@ -212,9 +212,9 @@
 			flt.host(num).stop()
 			flt.advance(3 * time.Second)
 			next = next.with("a", int64(num+2))
-			flt.store.force(next, int64(num+5))
+			flt.store.overwrite(next, int64(num+5))
 			flt.advance(2 * time.Second)
-			flt.inForce("after a leave", next)
+			flt.expectDocument("after a leave", next)
 		}
 		flt.expect("at the end", 6, cardamompass.StateAlive, 7)
 	})
--- a/internal/fleet/view/follow.go
+++ b/internal/fleet/view/follow.go
@@ -13,11 +13,11 @@
 
 const (
 	// watchWait is how long the store holds a watch without changes. An unresponsive connection is detected only when the wait is
-	// over, and changes must be in force about two seconds after their acknowledgement.
+	// over, and changes must take effect about two seconds after their acknowledgement.
 	watchWait = 1500 * time.Millisecond
 	// batchPerVM is the pause after changes for each running VM, between batchMin and batchMax, so that changes in quick succession
 	// are fetched with one call. Calls cost money, each change costs one call of every VM, and changes have at least two seconds
-	// to come into force.
+	// to take effect.
 	batchPerVM = 30 * time.Millisecond
 	batchMin   = 400 * time.Millisecond
 	batchMax   = time.Second
@@ -46,13 +46,13 @@
 
 // Follower keeps a View up to date with the store.
 type Follower struct {
-	cfg         Config
-	current     atomic.Pointer[View]
-	lastAnswer  atomic.Int64 // time of the last answer of the store, in nanoseconds since the Unix epoch
-	outage      Outage
-	listed      bool
-	listTimeout time.Duration // of the next listing
-	retryPause  time.Duration
+	cfg          Config
+	current      atomic.Pointer[View]
+	lastResponse atomic.Int64 // time of the last response of the store, in nanoseconds since the Unix epoch
+	outage       Outage
+	listed       bool
+	listTimeout  time.Duration // of the next listing
+	retryPause   time.Duration
 }
 
 // New starts to follow the store and returns the function that stops it.
@@ -81,12 +81,12 @@
 // View returns the current view.
 func (flw *Follower) View() (vew *View) { return flw.current.Load() }
 
-// StoreAge returns the time since the store's last answer; negative when there was none.
+// StoreAge returns the time since the last response of the store; negative if there was none.
 func (flw *Follower) StoreAge() (age time.Duration) {
-	if flw.lastAnswer.Load() == 0 {
+	if flw.lastResponse.Load() == 0 {
 		return -1
 	}
-	return flw.cfg.Clock.Now().Sub(time.Unix(0, flw.lastAnswer.Load()))
+	return flw.cfg.Clock.Now().Sub(time.Unix(0, flw.lastResponse.Load()))
 }
 
 type fetchResult struct {
@@ -152,7 +152,7 @@
 func (flw *Follower) handle(ctx context.Context, fre fetchResult) {
 	var lost *cardamompass.HistoryLostError
 	if errors.As(fre.err, &lost) {
-		flw.recordAnswer(flw.View().Revision)
+		flw.recordResponse(flw.View().Revision)
 		flw.cfg.Log.Warn("store history lost", zap.Int64("after", lost.After))
 		flw.listed = false
 		flw.listTimeout = listTimeoutMax
@@ -162,7 +162,7 @@
 		flw.recordFailure(ctx, fre.err)
 		return
 	}
-	now := flw.recordAnswer(fre.revision)
+	now := flw.recordResponse(fre.revision)
 	if !fre.listing && len(fre.chs) == 0 && fre.revision == flw.View().Revision {
 		return
 	}
@@ -177,10 +177,10 @@
 	_ = cardamompass.Sleep(ctx, flw.cfg.Clock, pause) // run notices the end of ctx
 }
 
-// recordAnswer records that the store answered, which ends an outage, and returns the current time.
-func (flw *Follower) recordAnswer(revision int64) (now time.Time) {
+// recordResponse records that the store answered, which ends an outage, and returns the current time.
+func (flw *Follower) recordResponse(revision int64) (now time.Time) {
 	now = flw.cfg.Clock.Now()
-	flw.lastAnswer.Store(now.UnixNano())
+	flw.lastResponse.Store(now.UnixNano())
 	flw.retryPause = retryMin
 	if flw.outage.Ongoing {
 		flw.outage = Outage{
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -14,11 +14,11 @@
 	"cardamompass"
 )
 
-// Outage describes the latest period in which the store did not answer.
+// Outage describes the latest period in which the store did not respond.
 type Outage struct {
-	// Ended is the time of the store's first answer after the outage; zero during an outage and if there was none.
+	// Ended is the time of the first response of the store after the outage; zero during an outage and if there was none.
 	Ended time.Time
-	// Ongoing is set while the store does not answer.
+	// Ongoing is set while the store does not respond.
 	Ongoing bool
 }
 
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// Guards against evacuations, VMs and crashes that stay in force although a listing no longer contains them.
+// Guards against evacuations, VMs and crashes that stay active although a listing no longer contains them.
 func TestListingReplaces(t *testing.T) {
 	vew := view.Empty().WithChanges([]cardamompass.Change{
 		{Evacuated: "z-1"},
