--- a/internal/edge/engine/engine_test.go
+++ b/internal/edge/engine/engine_test.go
@@ -162,7 +162,9 @@
 	return eng
 }
 
-func (fxt *fixture) execute(t *testing.T, rid string, idempotent bool, timeout time.Duration, header http.Header) (cardamompass.Response, error) {
+func (fxt *fixture) execute(
+	t *testing.T, rid string, idempotent bool, timeout time.Duration, header http.Header,
+) (cardamompass.Response, error) {
 	t.Helper()
 	return fxt.eng.Execute(t.Context(), cardamompass.Request{
 		ID:           cardamompass.RequestID(rid),
@@ -194,9 +196,9 @@
 		runs       int
 	}{
 		{name: "non-idempotent, truncated response", fault: target.FaultTruncated, want: cardamompass.OutcomeUnknown, runs: 1},
-		{name: "non-idempotent, response to another request", fault: target.FaultOtherID, want: cardamompass.OutcomeUnknown, runs: 1},
+		{name: "non-idempotent, wrong response id", fault: target.FaultOtherID, want: cardamompass.OutcomeUnknown, runs: 1},
 		{name: "idempotent, truncated response", fault: target.FaultTruncated, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
-		{name: "idempotent, response to another request", fault: target.FaultOtherID, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
+		{name: "idempotent, wrong response id", fault: target.FaultOtherID, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
--- a/internal/edge/front/bench_test.go
+++ b/internal/edge/front/bench_test.go
@@ -54,8 +54,8 @@
 			Slots:   1000,
 		}},
 	}, 1, view.Outage{}, time.Now())
-	brd := place.New(place.Config{Self: "vm-1", Region: "r"})
-	brd.Sync(vew, time.Now())
+	blc := place.New(place.Config{Self: "vm-1", Region: "r"})
+	blc.Sync(vew, time.Now())
 	snd, stop := send.New(send.Config{
 		Protocol: platform.Protocol{},
 		Clock:    cardamompass.SystemClock{},
@@ -70,7 +70,7 @@
 		Clock:    cardamompass.SystemClock{},
 		Log:      log,
 		Scope:    mtr.Scope(),
-		Balancer: brd,
+		Balancer: blc,
 		Sender:   snd,
 		View:     func() *view.View { return vew },
 		StoreAge: func() time.Duration { return 0 },
--- a/internal/edge/front/crash.go
+++ b/internal/edge/front/crash.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// crashLimit is the number of crashed instances after which a content is refused. One or two crashes can be coincidence,
-	// because other requests are in flight at an instance that crashes.
+	// crashLimit is the number of crashed instances after which requests with the same content are refused. One or two crashes can
+	// be coincidence, because other requests are in flight at an instance that crashes.
 	crashLimit = 3
 	// crashCheckDelay is the time between the break of a connection and the check whether the target still listens.
 	crashCheckDelay = 20 * time.Millisecond
@@ -28,17 +28,17 @@
 
 // fingerprint identifies the content of a request. The request id is not part of it, because a caller that sends the same content
 // again uses another id.
-func fingerprint(req *http.Request, inc cardamompass.RequestInfo, body []byte) (text string) {
+func fingerprint(req *http.Request, inf cardamompass.RequestInfo, body []byte) (text string) {
 	dgs := xxhash.New()
-	for _, field := range []string{req.Method, req.Host, req.RequestURI, inc.AffinityKey} {
+	for _, field := range []string{req.Method, req.Host, req.RequestURI, inf.AffinityKey} {
 		_, _ = dgs.WriteString(field + "\x00") // Digest.WriteString never fails
 	}
 	_, _ = dgs.Write(body)
 	return hex.EncodeToString(dgs.Sum(nil))
 }
 
-// blocked reports whether requests with this content are refused: it crashed at least crashLimit instances and no target has
-// answered it since.
+// blocked reports whether requests with this content are refused: they crashed at least crashLimit instances and no target has
+// answered one since.
 func (frt *Front) blocked(vew *view.View, content string) (ok bool) {
 	if vew.Crashes(content) < crashLimit {
 		return false
@@ -48,7 +48,7 @@
 	return !frt.harmless[content]
 }
 
-// markHarmless records that a target answered a content that is known to have crashed instances.
+// markHarmless records that a target answered a request whose content is known to have crashed instances.
 func (frt *Front) markHarmless(vew *view.View, content string) {
 	if vew.Crashes(content) == 0 {
 		return
--- a/internal/edge/front/dispatch.go
+++ b/internal/edge/front/dispatch.go
@@ -17,7 +17,7 @@
 	// maxUnsentAttempts bounds the attempts of one request that end before anything is sent: targets that can't be reached or whose
 	// address has another instance.
 	maxUnsentAttempts = 3
-	// minRetryTime is the least remaining time for which a request is retried or hedged.
+	// minRetryTime is the least remaining time with which a request is retried or hedged.
 	minRetryTime = 50 * time.Millisecond
 )
 
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -71,7 +71,7 @@
 	budgets     map[cardamompass.ServiceName]*budget.Budget
 	splits      map[string]*split
 	medians     map[string]time.Duration // estimated median latency by host and prefix of the route
-	harmless    map[string]bool          // fingerprints of contents that crashed instances and were answered since
+	harmless    map[string]bool          // fingerprints of content that crashed instances but was answered since
 	crashChecks sync.WaitGroup
 }
 
@@ -106,11 +106,11 @@
 		frt:   frt,
 		wrt:   wrt,
 		req:   req,
-		inc:   frt.cfg.Protocol.ParseRequest(req.Header),
+		inf:   frt.cfg.Protocol.ParseRequest(req.Header),
 		vew:   frt.cfg.View(),
 		start: now,
 	}
-	exc.log = frt.cfg.Log.With(zap.String("request", string(exc.inc.ID)))
+	exc.log = frt.cfg.Log.With(zap.String("request", string(exc.inf.ID)))
 	exc.serve()
 }
 
@@ -119,7 +119,7 @@
 	frt     *Front
 	wrt     http.ResponseWriter
 	req     *http.Request
-	inc     cardamompass.RequestInfo
+	inf     cardamompass.RequestInfo
 	vew     *view.View
 	route   *cardamompass.Route
 	service cardamompass.ServiceName
@@ -186,28 +186,29 @@
 // forward sends the request to targets until one answers, and writes the response to the caller.
 func (exc *exchange) forward(body []byte) {
 	wait := defaultTimeout
-	if exc.inc.Timeout > 0 {
-		wait = exc.inc.Timeout
+	if exc.inf.Timeout > 0 {
+		wait = exc.inf.Timeout
 	}
 	if exc.route.Timeout > 0 {
 		wait = min(wait, exc.route.Timeout)
 	}
 	hsh := rand.Uint64()
-	if exc.route.Sticky && exc.inc.AffinityKey != "" {
-		hsh = place.AffinityHash(exc.service, exc.inc.AffinityKey)
+	if exc.route.Sticky && exc.inf.AffinityKey != "" {
+		hsh = place.AffinityHash(exc.service, exc.inf.AffinityKey)
 	}
 	dsp := &dispatch{
 		exc:          exc,
 		affinityHash: hsh,
-		fingerprint:  fingerprint(exc.req, exc.inc, body),
+		fingerprint:  fingerprint(exc.req, exc.inf, body),
 		msg: send.Message{
-			ID:            exc.inc.ID,
-			Method:        exc.req.Method,
-			URI:           requestURI(exc.req),
-			Host:          exc.req.Host,
-			Header:        endToEnd(exc.req.Header),
-			Body:          body,
-			HasBody:       len(body) > 0 || exc.req.ContentLength > 0 || len(exc.req.TransferEncoding) > 0 || exc.req.Header.Get("Content-Length") != "",
+			ID:     exc.inf.ID,
+			Method: exc.req.Method,
+			URI:    requestURI(exc.req),
+			Host:   exc.req.Host,
+			Header: endToEnd(exc.req.Header),
+			Body:   body,
+			HasBody: len(body) > 0 || exc.req.ContentLength > 0 || len(exc.req.TransferEncoding) > 0 ||
+				exc.req.Header.Get("Content-Length") != "",
 			Deadline:      exc.start.Add(wait),
 			NonIdempotent: !exc.route.Idempotent,
 		},
@@ -303,7 +304,7 @@
 	ela := exc.frt.cfg.Clock.Now().Sub(exc.start)
 	exc.frt.met.observeRequest(exc.route, exc.service, outcome, ela)
 	fields := []zap.Field{
-		zap.String("route", exc.route.Name), zap.String("service", string(exc.service)), zap.String("object", exc.inc.AffinityKey),
+		zap.String("route", exc.route.Name), zap.String("service", string(exc.service)), zap.String("object", exc.inf.AffinityKey),
 		zap.String("outcome", outcome), zap.Int("status", status), zap.Duration("took", ela),
 		zap.Duration("allowed", dsp.msg.Deadline.Sub(exc.start)), zap.Int("sent", len(dsp.tried)), zap.Uint64("table", exc.vew.Table.Version),
 		zap.Duration("store-age", exc.frt.cfg.StoreAge()),
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -39,7 +39,7 @@
 const service = cardamompass.ServiceName("svc")
 
 func routes() (tbl *cardamompass.RoutingTable) {
-	route := func(prefix string, idempotent bool, parts ...cardamompass.WeightedService) (rte cardamompass.Route) {
+	route := func(prefix string, idempotent bool, services ...cardamompass.WeightedService) (rte cardamompass.Route) {
 		return cardamompass.Route{
 			Name:             prefix,
 			Host:             "h.example",
@@ -47,7 +47,7 @@
 			Idempotent:       idempotent,
 			Timeout:          400 * time.Millisecond,
 			LatencyObjective: 2 * time.Second, // long enough that nothing is hedged
-			WeightedServices: parts,
+			WeightedServices: services,
 			MaxTargets:       2,
 			Sticky:           true,
 		}
@@ -61,7 +61,8 @@
 			route("/read/", true, one),
 			route("/read/deep/", false, one),
 			route("/write/", false, one),
-			route("/split/", true, cardamompass.WeightedService{Service: service, Weight: 3}, cardamompass.WeightedService{Service: "none", Weight: 1}),
+			route("/split/", true, cardamompass.WeightedService{Service: service, Weight: 3},
+				cardamompass.WeightedService{Service: "none", Weight: 1}),
 			hedged,
 		},
 		Limits: cardamompass.CallerLimits{
@@ -318,7 +319,7 @@
 		t.Errorf("unknown route: status %d", status)
 	}
 	if status, hdr, _ := fxt.send("/split/a", "r-2"); status != 200 {
-		t.Errorf("first part: status %d, %v", status, hdr)
+		t.Errorf("first service: status %d, %v", status, hdr)
 	}
 	fxt.mu.Lock()
 	fxt.vew = view.Empty()
@@ -440,7 +441,7 @@
 		t.Fatalf("status %d, %d more runs", status, fxt.runs()-runs)
 	}
 	if status, _, _ := fxt.send("/write/b", "r-2"); status != 200 {
-		t.Fatalf("another content: status %d", status)
+		t.Fatalf("request with other content: status %d", status)
 	}
 }
 
--- a/internal/edge/front/policy.go
+++ b/internal/edge/front/policy.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// budgetSafety is the fraction of the common retry budget that the VMs use. The rest covers VMs that disagree about their
+	// budgetFraction is the fraction of the common retry budget that the VMs use. The rest covers VMs that disagree about their
 	// number.
-	budgetSafety = 0.85
+	budgetFraction = 0.85
 	// initialMedianFactor is the initial estimate of a route's median latency as a fraction of its objective.
 	initialMedianFactor = 0.5
 	// medianStep is the fraction by which each response moves the estimate of the median latency.
@@ -37,13 +37,13 @@
 	now := frt.cfg.Clock.Now()
 	set := frt.cfg.Settings
 	count := frt.cfg.Balancer.VMs(now)
-	minimum := int(math.Floor(budgetSafety * float64(set.RetryBudgetSlack) / float64(count)))
+	minimum := int(math.Floor(budgetFraction * float64(set.RetryBudgetSlack) / float64(count)))
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
 	bud, ok := frt.budgets[svc]
 	if !ok {
 		bud = budget.New(budget.Config{
-			Percent: int(budgetSafety * float64(set.RetryBudgetPercent)),
+			Percent: int(budgetFraction * float64(set.RetryBudgetPercent)),
 			Minimum: minimum,
 			Window:  set.RetryBudgetWindow,
 		}, now)
@@ -55,31 +55,31 @@
 
 // hedgeDelay returns the time after which the first attempt is hedged.
 func (dsp *dispatch) hedgeDelay() (dur time.Duration) {
-	typ := dsp.exc.frt.medianLatency(dsp.exc.route, 0)
-	latest := dsp.exc.route.LatencyObjective - time.Duration(hedgeLatencyFactor*float64(typ)) - callerTransferTime
-	return max(latest, time.Duration(minHedgeDelayFactor*float64(typ)))
+	med := dsp.exc.frt.medianLatency(dsp.exc.route, 0)
+	latest := dsp.exc.route.LatencyObjective - time.Duration(hedgeLatencyFactor*float64(med)) - callerTransferTime
+	return max(latest, time.Duration(minHedgeDelayFactor*float64(med)))
 }
 
 // medianLatency returns the estimated median latency of the attempts of a route. If ela is not 0, the estimate is first updated
 // with a response that took ela.
-func (frt *Front) medianLatency(rte *cardamompass.Route, ela time.Duration) (typ time.Duration) {
+func (frt *Front) medianLatency(rte *cardamompass.Route, ela time.Duration) (med time.Duration) {
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
 	key := rte.Host + rte.Prefix
-	typ, ok := frt.medians[key]
+	med, ok := frt.medians[key]
 	if !ok {
-		typ = time.Duration(initialMedianFactor * float64(rte.LatencyObjective))
+		med = time.Duration(initialMedianFactor * float64(rte.LatencyObjective))
 	}
 	switch {
-	case ela > typ:
-		typ += time.Duration(medianStep * float64(typ))
+	case ela > med:
+		med += time.Duration(medianStep * float64(med))
 	case ela > 0:
-		typ -= time.Duration(medianStep * float64(typ))
+		med -= time.Duration(medianStep * float64(med))
 	}
 	if ela > 0 {
-		frt.medians[key] = typ
+		frt.medians[key] = med
 	}
-	return typ
+	return med
 }
 
 // mayHedge reports whether a second attempt may start while the first is running.
@@ -101,8 +101,8 @@
 	frt.mu.Lock()
 	defer frt.mu.Unlock()
 	key := rte.Host + rte.Prefix
-	for _, prt := range rte.WeightedServices {
-		key += "|" + string(prt.Service) + "=" + formatWeight(prt.Weight)
+	for _, wsv := range rte.WeightedServices {
+		key += "|" + string(wsv.Service) + "=" + formatWeight(wsv.Weight)
 	}
 	spl, ok := frt.splits[key]
 	if !ok {
@@ -114,17 +114,17 @@
 	return spl.next(rte.WeightedServices)
 }
 
-func (spl *split) next(parts []cardamompass.WeightedService) (svc cardamompass.ServiceName) {
+func (spl *split) next(services []cardamompass.WeightedService) (svc cardamompass.ServiceName) {
 	weightSum := 0.0
-	for _, prt := range parts {
-		weightSum += prt.Weight
+	for _, wsv := range services {
+		weightSum += wsv.Weight
 	}
 	spl.total++
 	maxLag := math.Inf(-1)
-	for _, prt := range parts {
-		lag := prt.Weight/weightSum*spl.total - spl.assigned[prt.Service]
+	for _, wsv := range services {
+		lag := wsv.Weight/weightSum*spl.total - spl.assigned[wsv.Service]
 		if lag > maxLag {
-			maxLag, svc = lag, prt.Service
+			maxLag, svc = lag, wsv.Service
 		}
 	}
 	spl.assigned[svc]++
--- a/internal/edge/relay/probe.go
+++ b/internal/edge/relay/probe.go
@@ -21,7 +21,7 @@
 	ProbeNoResult
 )
 
-// String returns the kebab-case name of the reach.
+// String returns the kebab-case name of the result.
 func (res ProbeResult) String() string {
 	switch res {
 	case ProbeAccepted:
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -24,8 +24,8 @@
 const (
 	// ChunkBytes is the maximum number of bytes read from a target between two calls of Pace.
 	ChunkBytes = 32 << 10
-	// UnpacedBytes is the maximum number of bytes of a long response that a target can send ahead of Pace: a receive buffer of 128
-	// KiB and a chunk that was read.
+	// UnpacedBytes is the maximum number of bytes of a long response that a target can send ahead of Pace: those in the receive
+	// buffer (128 KiB) and a chunk that was read.
 	UnpacedBytes = 192 << 10
 
 	defaultDialTimeout    = 500 * time.Millisecond
--- a/internal/edge/send/send.go
+++ b/internal/edge/send/send.go
@@ -250,18 +250,18 @@
 		if rsp.StatusCode < http.StatusOK {
 			continue
 		}
-		std := snd.cfg.Protocol.ParseResponse(rsp.StatusCode, rsp.Header)
+		inf := snd.cfg.Protocol.ParseResponse(rsp.StatusCode, rsp.Header)
 		data, err := readBody(rsp)
 		if err != nil {
 			return rep, false, readFailure(ctx, err, true)
 		}
-		if std.ID != msg.ID && std.ID != "" {
+		if inf.ID != msg.ID && inf.ID != "" {
 			continue // a late or duplicate response to another request
 		}
-		if std.NotRun {
-			return Reply{Header: rsp.Header}, !rsp.Close, notRunResponse(std, rsp.StatusCode)
+		if inf.NotRun {
+			return Reply{Header: rsp.Header}, !rsp.Close, notRunResponse(inf, rsp.StatusCode)
 		}
-		if std.ID == "" || std.Transformed || (rsp.StatusCode < 300 && !std.Signed) {
+		if inf.ID == "" || inf.Transformed || (rsp.StatusCode < 300 && !inf.Signed) {
 			return rep, false, &Failure{
 				Kind:           KindInvalidResponse,
 				HeaderReceived: true,
@@ -272,7 +272,7 @@
 			Status: rsp.StatusCode,
 			Header: rsp.Header,
 			Body:   data,
-			Info:   std,
+			Info:   inf,
 		}, !rsp.Close, nil
 	}
 	return rep, false, &Failure{
@@ -282,16 +282,16 @@
 	}
 }
 
-func notRunResponse(std cardamompass.ResponseInfo, status int) (err *Failure) {
+func notRunResponse(inf cardamompass.ResponseInfo, status int) (err *Failure) {
 	kind := KindShed
-	if std.OtherInstance {
+	if inf.OtherInstance {
 		kind = KindWrongInstance
 	}
 	return &Failure{
 		Kind:           kind,
 		NotRun:         true,
 		HeaderReceived: true,
-		Info:           std,
+		Info:           inf,
 		Err:            errors.Errorf("target responded with status %d and has not run the request", status),
 	}
 }
