--- a/internal/fleet/member/agent.go
+++ b/internal/fleet/member/agent.go
@@ -97,10 +97,10 @@
 }
 
 // Attach adds the payload handler of a subsystem. Call it before Start.
-func (agt *Agent) Attach(car PayloadHandler) {
+func (agt *Agent) Attach(phd PayloadHandler) {
 	agt.mut.Lock()
 	defer agt.mut.Unlock()
-	agt.payloadHandlers = append(agt.payloadHandlers[:len(agt.payloadHandlers):len(agt.payloadHandlers)], car)
+	agt.payloadHandlers = append(agt.payloadHandlers[:len(agt.payloadHandlers):len(agt.payloadHandlers)], phd)
 }
 
 // Start starts probing. Call it once.
@@ -183,7 +183,7 @@
 	}
 	wgr.Wait()
 	if sent > 0 && answered.Load() == 0 {
-		return errors.Errorf("none of %d members answered", sent)
+		return errors.Errorf("none of %d members replied", sent)
 	}
 	return nil
 }
--- a/internal/fleet/member/calls.go
+++ b/internal/fleet/member/calls.go
@@ -146,13 +146,13 @@
 
 func (agt *Agent) withPayloads(msg Message) Message {
 	msg.Payloads = nil
-	for _, car := range agt.handlers() {
-		data := car.Produce()
+	for _, phd := range agt.handlers() {
+		data := phd.Produce()
 		if len(data) == 0 || len(data) > MaxPayloadBytes {
 			continue
 		}
 		msg.Payloads = append(msg.Payloads, Payload{
-			Name: car.Name,
+			Name: phd.Name,
 			Data: data,
 		})
 	}
@@ -163,10 +163,10 @@
 	if len(msg.Payloads) == 0 || msg.From.VM.ID == "" || msg.From.VM.ID == agt.cfg.Machine.Self.ID {
 		return
 	}
-	for _, car := range agt.handlers() {
+	for _, phd := range agt.handlers() {
 		for _, pld := range msg.Payloads {
-			if pld.Name == car.Name {
-				car.Consume(msg.From, pld.Data)
+			if pld.Name == phd.Name {
+				phd.Consume(msg.From, pld.Data)
 			}
 		}
 	}
--- a/internal/fleet/member/event.go
+++ b/internal/fleet/member/event.go
@@ -11,39 +11,31 @@
 
 // Tick reports that time has passed. The driver applies it at the time that Machine.Next returned.
 type Tick struct {
-	// Now is the current time.
 	Now time.Time
 }
 
 // PingReceived is a probe from another VM. It causes a Reply effect.
 type PingReceived struct {
-	// Now is the current time.
-	Now time.Time
-	// Message is the probe.
+	Now     time.Time
 	Message Message
 }
 
 // RelayReceived is the request of another VM to probe a target. It causes a Reply effect and a Ping effect with Relay set.
 type RelayReceived struct {
-	// Now is the current time.
-	Now time.Time
-	// Request is the request.
+	Now     time.Time
 	Request RelayRequest
 }
 
 // ProbeAnswered is the reply to a Ping, or to a PingReq whose target was reached.
 type ProbeAnswered struct {
-	// Now is the current time.
 	Now time.Time
 	// Probe is the number of the probe in the effect.
-	Probe uint64
-	// Message is the reply.
+	Probe   uint64
 	Message Message
 }
 
 // ProbeFailed is the end of a Ping or PingReq without a reply of the target.
 type ProbeFailed struct {
-	// Now is the current time.
 	Now time.Time
 	// Probe is the number of the probe in the effect.
 	Probe uint64
@@ -51,15 +43,12 @@
 
 // VMsListed is the platform's list of VMs, reduced to entry VMs.
 type VMsListed struct {
-	// Now is the current time.
 	Now time.Time
-	// VMs is the list.
 	VMs []cardamompass.ListedVM
 }
 
 // LeaveRequested begins or completes the planned stop of this VM.
 type LeaveRequested struct {
-	// Now is the current time.
 	Now time.Time
 	// Successor is the VM that takes over this VM's operation records; empty while unknown.
 	Successor cardamompass.VMID
@@ -86,7 +75,6 @@
 	Address string
 	// Timeout bounds the call.
 	Timeout time.Duration
-	// Message is the probe.
 	Message Message
 	// Relay is set when the probe is sent on behalf of another VM because of RelayReceived.
 	Relay bool
@@ -102,13 +90,11 @@
 	Address string
 	// Timeout bounds the call.
 	Timeout time.Duration
-	// Request is the request.
 	Request RelayRequest
 }
 
 // Reply is the reply to the message of the event.
 type Reply struct {
-	// Message is the reply.
 	Message Message
 }
 
--- a/internal/fleet/member/probe.go
+++ b/internal/fleet/member/probe.go
@@ -154,7 +154,7 @@
 }
 
 // probeIndirectly requests other members to probe a member that did not respond.
-func (mch *Machine) probeIndirectly(pid uint64, prb *probe, rec *record, now time.Time) (asked bool) {
+func (mch *Machine) probeIndirectly(pid uint64, prb *probe, rec *record, now time.Time) (sent bool) {
 	vids := mch.pickAlive(relayCount, prb.target)
 	if len(vids) == 0 {
 		return false
--- a/internal/fleet/member/wire.go
+++ b/internal/fleet/member/wire.go
@@ -18,7 +18,6 @@
 
 // Update is the record of a member in a message.
 type Update struct {
-	// Member is the record.
 	Member cardamompass.Member
 	// AgeSeconds is the time since the member died or left. It ensures that a VM that receives the record later does not
 	// keep it longer.
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -179,7 +179,7 @@
 		unsent  bool
 	}{
 		{name: "connection refused", address: closed.Addr().String(), method: "Echo.Say", args: text{}, unsent: true},
-		{name: "peer silent in handshake", address: silent.Addr().String(), method: "Echo.Say", args: text{}, unsent: true},
+		{name: "no data from the peer in the handshake", address: silent.Addr().String(), method: "Echo.Say", args: text{}, unsent: true},
 		{name: "other key", address: srv.Address(), method: "Echo.Say", args: text{}, key: "fedcba9876543210", unsent: true},
 		{name: "arguments too large", address: srv.Address(), method: "Echo.Say", args: large, unsent: true},
 		{name: "arguments not encodable", address: srv.Address(), method: "Echo.Say", args: func() {}, unsent: true},
--- a/internal/fleet/spread/agent.go
+++ b/internal/fleet/spread/agent.go
@@ -247,7 +247,7 @@
 	return effects
 }
 
-// execute executes an effect. The caller holds agt.mut.
+// execute performs one effect. The caller holds agt.mut.
 func (agt *Agent[D]) execute(eff Effect) {
 	switch eff := eff.(type) {
 	case Changed:
--- a/internal/fleet/spread/core.go
+++ b/internal/fleet/spread/core.go
@@ -55,8 +55,7 @@
 	// Self is this VM.
 	Self cardamompass.VMID
 	// Key is the document's key in the store.
-	Key string
-	// Codec converts documents.
+	Key   string
 	Codec Codec[D]
 	// RandomSeed is the seed of the random number generator.
 	RandomSeed int64
--- a/internal/fleet/spread/event.go
+++ b/internal/fleet/spread/event.go
@@ -11,13 +11,11 @@
 
 // Tick reports that time has passed. The driver applies it at the time that Core.Next returned.
 type Tick struct {
-	// Now is the current time.
 	Now time.Time
 }
 
 // PeersChanged reports the VMs that serve.
 type PeersChanged struct {
-	// Now is the current time.
 	Now time.Time
 	// Serving are the other VMs that serve and are not leaving.
 	Serving []cardamompass.VMID
@@ -27,7 +25,6 @@
 
 // Offered is a document that this VM obtained outside this package, such as the result of an edit.
 type Offered[D any] struct {
-	// Now is the current time.
 	Now time.Time
 	// Doc is the whole document.
 	Doc D
@@ -35,35 +32,26 @@
 
 // PushReceived is a push from a peer. It causes a PushAnswer effect.
 type PushReceived struct {
-	// Now is the current time.
-	Now time.Time
-	// Request is the push.
+	Now     time.Time
 	Request PushRequest
 }
 
 // PullReceived is a pull from a peer. It causes a PullAnswer effect.
 type PullReceived struct {
-	// Now is the current time.
-	Now time.Time
-	// Request is the pull.
+	Now     time.Time
 	Request PullRequest
 }
 
 // SummaryReceived is the summary of a peer's document.
 type SummaryReceived struct {
-	// Now is the current time.
-	Now time.Time
-	// From is the peer.
-	From cardamompass.VMID
-	// Summary is the summary.
+	Now     time.Time
+	From    cardamompass.VMID
 	Summary Summary
 }
 
 // PullDone is the end of a Pull.
 type PullDone struct {
-	// Now is the current time.
-	Now time.Time
-	// From is the peer.
+	Now  time.Time
 	From cardamompass.VMID
 	// Full is set when the whole document was requested.
 	Full bool
@@ -73,7 +61,6 @@
 
 // ReadDone is the end of a Watch or Get.
 type ReadDone struct {
-	// Now is the current time.
 	Now time.Time
 	// Call is the number of the call in the effect.
 	Call uint64
@@ -87,7 +74,6 @@
 
 // WriteDone is the end of a Put.
 type WriteDone struct {
-	// Now is the current time.
 	Now time.Time
 	// Digest is the digest of the document that was to be written.
 	Digest uint64
@@ -110,17 +96,13 @@
 
 // Push requests the driver to push a change and to report the summary in the reply as SummaryReceived.
 type Push struct {
-	// To is the peer.
-	To cardamompass.VMID
-	// Request is the push.
+	To      cardamompass.VMID
 	Request PushRequest
 }
 
 // Pull requests the driver to pull from a peer and to report PullDone.
 type Pull struct {
-	// To is the peer.
-	To cardamompass.VMID
-	// Request is the pull.
+	To      cardamompass.VMID
 	Request PullRequest
 }
 
--- a/internal/fleet/spread/store.go
+++ b/internal/fleet/spread/store.go
@@ -21,7 +21,7 @@
 	getBackOff   time.Duration
 	answered     bool // a read of the store has succeeded
 
-	known    bool // revision and digest are those of the last successful watch
+	known    bool // revision and digest are those of the value in the store
 	revision int64
 	dataHash uint64
 	digest   uint64 // digest of the document in the store, 0 if the key does not exist
@@ -63,7 +63,8 @@
 	return due
 }
 
-// needsGet reports whether this VM, which is not a watcher, has to read the store because it has no document yet.
+// needsGet reports whether this VM, if it is not a watcher, has to read the store because it has no document yet. It reads
+// the store at most once successfully.
 func (cor *Core[D]) needsGet() bool {
 	return cor.watcherRank < 0 && cor.sum.Version == 0 && !cor.store.answered && cor.store.get == 0
 }
--- a/store.go
+++ b/store.go
@@ -21,7 +21,6 @@
 
 // Lease is the state of a lease of the store.
 type Lease struct {
-	// ID identifies the lease.
 	ID LeaseID
 	// TTL is the time for which a grant or a renewal keeps the lease alive.
 	TTL time.Duration
--- a/vm.go
+++ b/vm.go
@@ -60,9 +60,7 @@
 
 // Member is the membership's record of one entry VM.
 type Member struct {
-	// VM describes the member.
-	VM VM
-	// State is its state.
+	VM    VM
 	State MemberState
 	// Refutation is the number of suspicions that the member refuted in this incarnation.
 	Refutation uint64
