--- a/internal/steer/health/signal.go
+++ b/internal/steer/health/signal.go
@@ -56,11 +56,11 @@
 // MarshalText implements encoding.TextMarshaler for the state dump.
 func (sig LeaveSignal) MarshalText() (text []byte, err error) { return []byte(sig.String()), nil }
 
-// own reports whether this VM received the signal from a source other than a peer. Only own signals are sent to peers, so that a report
+// own reports whether the source of the signal is not another entry VM. Only own signals are sent to peers, so that a report
 // does not circulate.
 func (sig LeaveSignal) own() (yes bool) { return sig != SignalPeerReport }
 
-func (sig LeaveSignal) ttl() (lif time.Duration) {
+func (sig LeaveSignal) ttl() (ttl time.Duration) {
 	switch sig {
 	case SignalVMList:
 		return vmListTTL
@@ -76,23 +76,23 @@
 // signals is the set of signals of one target. It is a value: with methods return a changed copy.
 type signals struct {
 	until [signalCount]time.Time
-	// confirmBy is the end of the time for which the target counts as leaving until an own probe finds it serving; zero when
-	// no such confirmation is needed.
+	// confirmBy is the time until which the target counts as leaving unless an own probe finds it serving; zero when no such
+	// confirmation is needed.
 	confirmBy time.Time
 }
 
-// with returns the set with one more signal. fresh reports that this is an own signal and that no own signal was in
-// force, so that it must be sent to the peers.
-func (sgs signals) with(sig LeaveSignal, now time.Time) (next signals, fresh bool) {
-	fresh = sig.own()
+// with returns the set with one more signal. isNew reports that this is an own signal and that no own signal was active,
+// so that it must be sent to the peers.
+func (sgs signals) with(sig LeaveSignal, now time.Time) (next signals, isNew bool) {
+	isNew = sig.own()
 	for one := range signalCount {
-		fresh = fresh && (!one.own() || !now.Before(sgs.until[one]))
+		isNew = isNew && (!one.own() || !now.Before(sgs.until[one]))
 	}
 	sgs.until[sig] = now.Add(sig.ttl())
 	if sig == SignalDrainAnswer || sig == SignalHealthProbe {
 		sgs.confirmBy = now.Add(confirmTimeout)
 	}
-	return sgs, fresh
+	return sgs, isNew
 }
 
 // withServing returns the set after an own probe that found the target serving. It ends no signal early, because health
--- a/internal/steer/health/target.go
+++ b/internal/steer/health/target.go
@@ -115,12 +115,12 @@
 	default:
 		return
 	}
-	hold := max(age, time.Millisecond)
+	slowFor := max(age, time.Millisecond)
 	for range tgt.late {
-		hold = min(hold*slowTimeGrowth, maxSlowTime)
+		slowFor = min(slowFor*slowTimeGrowth, maxSlowTime)
 	}
 	tgt.late++
-	tgt.slowUntil = now.Add(min(hold, maxSlowTime))
+	tgt.slowUntil = now.Add(min(slowFor, maxSlowTime))
 }
 
 // setLoad records a load report. A report can only reduce the use of a target: slots above the catalogue's count are
--- a/internal/steer/health/targets.go
+++ b/internal/steer/health/targets.go
@@ -7,7 +7,7 @@
 	"cardamompass/internal/steer/route"
 )
 
-// SetTargets replaces the targets with those of the catalogue in force, or with the VM's subset of them. Targets that
+// SetTargets replaces the targets with those of the active catalogue, or with the VM's subset of them. Targets that
 // remain keep their state; a target whose service or region changes counts as new. Targets of the first call are warm,
 // new targets of later calls are cold. Requests in flight on a removed target must still be ended with Done.
 func (trk *Tracker) SetTargets(tgts []cardamompass.Target, now time.Time) {
--- a/internal/steer/health/track.go
+++ b/internal/steer/health/track.go
@@ -179,9 +179,9 @@
 
 // MarkLeaving records a signal that the target is leaving. A new own signal is announced.
 func (trk *Tracker) MarkLeaving(tid cardamompass.TargetID, sig LeaveSignal, now time.Time) {
-	if trk.update(tid, now, func(tgt *target) (fresh bool) {
-		tgt.sgs, fresh = tgt.sgs.with(sig, now)
-		return fresh
+	if trk.update(tid, now, func(tgt *target) (isNew bool) {
+		tgt.sgs, isNew = tgt.sgs.with(sig, now)
+		return isNew
 	}) && trk.cfg.Announce != nil {
 		trk.cfg.Announce(LeavingReport{
 			Target: tid,
@@ -192,7 +192,7 @@
 
 // ProbeSucceeded records that the health endpoint reported the state serving or cold.
 func (trk *Tracker) ProbeSucceeded(tid cardamompass.TargetID, cold bool, now time.Time) {
-	trk.update(tid, now, func(tgt *target) (fresh bool) {
+	trk.update(tid, now, func(tgt *target) (isNew bool) {
 		tgt.setProbed(cold, now)
 		return false
 	})
@@ -200,7 +200,7 @@
 
 // ProbeFailed records that the health endpoint returned no valid response.
 func (trk *Tracker) ProbeFailed(tid cardamompass.TargetID, now time.Time) {
-	trk.update(tid, now, func(tgt *target) (fresh bool) {
+	trk.update(tid, now, func(tgt *target) (isNew bool) {
 		tgt.failed(now)
 		return false
 	})
@@ -208,7 +208,7 @@
 
 // MarkDown records that the target broke a connection and then refused a new one. The target counts as failing at once.
 func (trk *Tracker) MarkDown(tid cardamompass.TargetID, now time.Time) {
-	trk.update(tid, now, func(tgt *target) (fresh bool) {
+	trk.update(tid, now, func(tgt *target) (isNew bool) {
 		tgt.markDown(now)
 		return false
 	})
@@ -216,23 +216,23 @@
 
 // RecordLoad records a load report, which is used for 5 s.
 func (trk *Tracker) RecordLoad(tid cardamompass.TargetID, inFlight, slots int, now time.Time) {
-	trk.update(tid, now, func(tgt *target) (fresh bool) {
+	trk.update(tid, now, func(tgt *target) (isNew bool) {
 		tgt.setLoad(inFlight, slots, now)
 		return false
 	})
 }
 
 // update changes the state of one target under its lock and then updates whether it is avoided.
-func (trk *Tracker) update(tid cardamompass.TargetID, now time.Time, change func(tgt *target) bool) (fresh bool) {
+func (trk *Tracker) update(tid cardamompass.TargetID, now time.Time, change func(tgt *target) bool) (isNew bool) {
 	tgt := trk.idx.Load().targets[tid]
 	if tgt == nil {
 		return false
 	}
 	tgt.grp.mut.Lock()
 	defer tgt.grp.mut.Unlock()
-	fresh = change(tgt)
+	isNew = change(tgt)
 	tgt.updateAvoided(now)
-	return fresh
+	return isNew
 }
 
 // Snapshot returns the state of the service's targets. It reuses the slices of old and keeps its Regions and VMRegion,
@@ -269,14 +269,14 @@
 // TargetView is the state of one target for the state dump.
 type TargetView struct {
 	State route.TargetState
-	// Signals are the signals in force.
+	// Signals are the active signals.
 	Signals []SignalView
 	// Failures counts the consecutive failures, Late the consecutive requests that ended late.
 	Failures int
 	Late     int
 }
 
-// SignalView is one signal in force and its end.
+// SignalView is one active signal and its end.
 type SignalView struct {
 	Signal LeaveSignal
 	Until  time.Time
--- a/internal/steer/place/choose.go
+++ b/internal/steer/place/choose.go
@@ -58,7 +58,7 @@
 	Now   time.Time
 }
 
-// Choice is an instance and the figures on which the choice rests.
+// Choice is an instance and the figures on which the choice is based.
 type Choice struct {
 	Instance cardamompass.Instance
 	// Rank is the position of the instance in the object's order, starting at 0.
@@ -274,7 +274,7 @@
 	return false
 }
 
-// coldQuota returns the number of requests a second that this VM may send to a cold instance. The quotas of all VMs add up to the bound
+// coldQuota returns the number of requests per second that this VM may send to a cold instance. The quotas of all VMs add up to the bound
 // less one, which allows for requests that are sent while the number of VMs changes.
 func (bal *Balancer) coldQuota(ins *cardamompass.Instance, now time.Time) (quota int) {
 	total := int(math.Floor(bal.policy(ins.Service).ColdRate*bal.cfg.ColdOverage+bal.cfg.ColdSlack)) - 1
--- a/internal/steer/place/place.go
+++ b/internal/steer/place/place.go
@@ -20,14 +20,14 @@
 	"cardamompass/internal/fleet/view"
 )
 
-// Config configures a Board.
+// Config configures a Balancer.
 type Config struct {
 	// Self is this VM. Region is its region, whose callers it serves.
 	Self   cardamompass.VMID
 	Region cardamompass.Region
 	// Regions maps failure domains to regions. Callers are assumed to be spread evenly over the failure domains.
 	Regions map[cardamompass.FailureDomain]cardamompass.Region
-	// ColdOverage and ColdSlack bound the requests a second to a cold instance: its rate times the overage plus the slack.
+	// ColdOverage and ColdSlack bound the requests per second to a cold instance: its rate times the overage plus the slack.
 	ColdOverage float64
 	ColdSlack   float64
 	// MaxRegionShift is the fraction of a region's requests that may change the serving region within two seconds.
--- a/internal/steer/place/place_test.go
+++ b/internal/steer/place/place_test.go
@@ -124,9 +124,18 @@
 		query  func(qry *place.Query)
 		count  func(rej place.Rejected) int
 	}{
-		{"leaving", func(flt *fleet) { flt.changes[len(flt.changes)-1].Instance.Leaving = true }, nil, func(rej place.Rejected) int { return rej.Leaving }},
-		{"evacuated", func(flt *fleet) { flt.add(cardamompass.Change{Evacuated: "a-1"}) }, nil, func(rej place.Rejected) int { return rej.Evacuated }},
-		{"tried", nil, func(qry *place.Query) { qry.Tried = []cardamompass.InstanceID{"i-001"} }, func(rej place.Rejected) int { return rej.Tried }},
+		{
+			"leaving", func(flt *fleet) { flt.changes[len(flt.changes)-1].Instance.Leaving = true }, nil,
+			func(rej place.Rejected) int { return rej.Leaving },
+		},
+		{
+			"evacuated", func(flt *fleet) { flt.add(cardamompass.Change{Evacuated: "a-1"}) }, nil,
+			func(rej place.Rejected) int { return rej.Evacuated },
+		},
+		{
+			"tried", nil, func(qry *place.Query) { qry.Tried = []cardamompass.InstanceID{"i-001"} },
+			func(rej place.Rejected) int { return rej.Tried },
+		},
 		{"not at home", nil, func(qry *place.Query) {
 			qry.Route = &cardamompass.Route{
 				HomeRegions: []cardamompass.Region{"b"},
--- a/internal/steer/queue/queue.go
+++ b/internal/steer/queue/queue.go
@@ -49,8 +49,8 @@
 	// Deadline is the time by which the caller needs the complete response; Expected is the usual time that a request takes.
 	Deadline time.Time
 	Expected time.Duration
-	// Requirement names what the slot must meet, for example the caller's region. When a waiter can't use a slot, the queue
-	// skips all other waiters with the same Requirement without trying them.
+	// Requirement identifies what the request needs from a slot, for example the caller's region. When a waiter can't use a
+	// slot, the queue skips all other waiters with the same Requirement without trying them.
 	Requirement string
 }
 
--- a/internal/steer/queue/set.go
+++ b/internal/steer/queue/set.go
@@ -29,7 +29,7 @@
 	return set, set.stop
 }
 
-// SetServices replaces the services with those of the catalogue in force. The queue of a service that remains keeps its
+// SetServices replaces the services with those of the active catalogue. The queue of a service that remains keeps its
 // waiters and gets the new length; a shorter length drops no waiter. The queue of a removed service is stopped. SetServices
 // has no effect once the set is stopped.
 func (set *Set) SetServices(svcs []cardamompass.Service) {
