--- a/internal/edge/entry/caller.go
+++ b/internal/edge/entry/caller.go
@@ -99,7 +99,7 @@
 		if err != nil {
 			prc.refuse(rsw, "", &cardamompass.InvalidError{
 				Field:  "client",
-				Reason: "must be an IP address",
+				Reason: "must be an IP number",
 			})
 			return
 		}
@@ -174,7 +174,7 @@
 		return err
 	}
 	return &cardamompass.UnknownOutcomeError{
-		Reason: "an earlier attempt may have run; this one: " + errors.Cause(err).Error(),
+		Reason: "an earlier sending may have run; this one: " + errors.Cause(err).Error(),
 	}
 }
 
--- a/internal/edge/entry/request.go
+++ b/internal/edge/entry/request.go
@@ -113,7 +113,7 @@
 		if req.Attempt, err = strconv.Atoi(text); err != nil || req.Attempt < 1 {
 			return &cardamompass.InvalidError{
 				Field:  cardamompass.HeaderAttempt,
-				Reason: "must be an integer of at least 1",
+				Reason: "must be a whole number from 1",
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 	case err != nil:
 		return nil, &cardamompass.InvalidError{
 			Field:  "body",
-			Reason: "is truncated or has invalid framing: " + err.Error(),
+			Reason: "ended early or is not framed correctly: " + err.Error(),
 		}
 	}
 	return body, nil
--- a/internal/edge/oper/handover.go
+++ b/internal/edge/oper/handover.go
@@ -55,7 +55,7 @@
 	for opn, rec := range mch.records {
 		oct := rec.outcome
 		if oct.State == StateRunning {
-			oct = unknown("the home left while the operation was running")
+			oct = unknown("the home left while the operation ran")
 		}
 		if oct.State == StateNotRun {
 			continue
@@ -127,18 +127,18 @@
 			added++
 		}
 		if ent.Operation.Ticket.homeID() != hid {
-			return "a record belongs to another incarnation than its chunk"
+			return "a record belongs to another incarnation than its part"
 		}
 	}
 	switch {
 	case hid == mch.self:
-		return "the receiver is the home of the records itself"
+		return "the successor is the incarnation that left"
 	case mch.closed:
-		return "the successor is leaving as well"
+		return "the successor is leaving too"
 	case chk.Index < 0 || chk.Index >= chk.Count:
-		return "the chunk's index is out of range"
+		return "the part's index is out of range"
 	case len(mch.records)+added > mch.limits.records:
-		return "the successor has reached its record limit"
+		return "the successor holds as many records as it may"
 	}
 	for _, ent := range chk.Entries {
 		mch.importRecord(now, ent)
--- a/internal/edge/oper/machine.go
+++ b/internal/edge/oper/machine.go
@@ -111,9 +111,9 @@
 	case refused:
 		return decisionDone, oct
 	case mch.age(now, opn) == ticketEarly:
-		return decisionDone, refusal(attempt, "the ticket's issue time is more than 30 s ahead of the home's clock")
+		return decisionDone, refusal(attempt, "the ticket was issued more than 30 s after the home's own time")
 	case len(mch.records) >= mch.limits.records:
-		return decisionDone, refusal(attempt, "the home has reached its record limit")
+		return decisionDone, refusal(attempt, "the home holds as many records as it may")
 	}
 	mch.records[opn] = &record{
 		operation: opn,
@@ -132,7 +132,7 @@
 	if attempt == 1 {
 		return notRun(reason)
 	}
-	return unknown(reason + "; an earlier attempt may still be in transit")
+	return unknown(reason + "; an earlier sending may still be on its way")
 }
 
 // classifyAbsent returns the outcome of an operation without a record, independent of the record limit. refused is false
@@ -144,7 +144,7 @@
 	case hid != mch.self && imp == nil:
 		return unknown("this VM holds no records of the ticket's home"), true
 	case hid != mch.self && !imp.complete:
-		return unknown("the home left and its records were transferred only in part"), true
+		return unknown("the home left and its records were handed over only in part"), true
 	case mch.age(now, opn) == ticketExpired:
 		return unknown("the ticket has expired"), true
 	case hid != mch.self:
--- a/internal/edge/oper/outcome.go
+++ b/internal/edge/oper/outcome.go
@@ -71,7 +71,7 @@
 }
 
 func (err *RanError) Error() string {
-	return fmt.Sprintf("operation ran with status %d; its response is no longer stored", err.Status)
+	return fmt.Sprintf("operation ran with status %d; its answer is no longer held", err.Status)
 }
 
 // Err returns the outcome as a typed error, nil for StateAnswered.
--- a/internal/edge/oper/peer.go
+++ b/internal/edge/oper/peer.go
@@ -54,7 +54,7 @@
 	end, _ := ctx.Deadline()
 	left := time.Until(end)
 	if ctx.Err() != nil || left < time.Millisecond {
-		return refusal(req.Attempt, "deadline passed before the request was forwarded to its home")
+		return refusal(req.Attempt, "deadline passed before the request was passed to its home")
 	}
 	req.Deadline = time.Time{}
 	args := ForwardArgs{
@@ -68,9 +68,9 @@
 	case errors.As(err, &unsent):
 		return refusal(req.Attempt, "the request could not be sent to its home")
 	case err != nil:
-		return unknown("no reply from the operation's home: " + err.Error())
+		return unknown("no answer from the operation's home: " + err.Error())
 	case rpl.Operation != opn || rpl.Outcome.State == StateAbsent || rpl.Outcome.State == StateRunning:
-		return unknown("the reply from the operation's home has no outcome")
+		return unknown("the operation's home gave no outcome")
 	}
 	return rpl.Outcome
 }
@@ -90,14 +90,14 @@
 	if ok && mbr.VM.Incarnation > hid.incarnation {
 		next, left := svc.successor(hid)
 		if !left {
-			return "", "the operation's home has restarted"
+			return "", "the operation's home was restarted"
 		}
 		mbr, ok = find(next)
 	}
 	for range members {
 		switch {
 		case !ok:
-			return "", "the operation's home is not a known member"
+			return "", "the operation's home is not known"
 		case mbr.Serving():
 			return mbr.VM.PeerAddress, ""
 		case mbr.State != cardamompass.StateLeft || mbr.Successor == "":
@@ -105,7 +105,7 @@
 		}
 		mbr, ok = find(mbr.Successor)
 	}
-	return "", "the operation's home has left without a successor"
+	return "", "the operation's home left and has no successor"
 }
 
 // maxDepartures is the number of departures that a VM keeps, enough for several days of restarts in the largest fleet.
@@ -197,10 +197,10 @@
 	var rpl Reply
 	err := svc.cfg.Peers.Call(ctx, address, methodQuery, &args, &rpl)
 	if err != nil {
-		return unknown("no reply from the operation's home: " + err.Error())
+		return unknown("no answer from the operation's home: " + err.Error())
 	}
 	if rpl.Operation != opn {
-		return unknown("the reply from the operation's home has no outcome")
+		return unknown("the operation's home gave no outcome")
 	}
 	return rpl.Outcome
 }
--- a/internal/edge/oper/table.go
+++ b/internal/edge/oper/table.go
@@ -109,7 +109,7 @@
 	case decisionInvalid:
 		return false, nil, &cardamompass.InvalidError{
 			Field:  cardamompass.HeaderRequestID,
-			Reason: "was already used with this ticket for a request with different content",
+			Reason: "was used with the same ticket for a request with other content",
 		}
 	default:
 		return false, completed(oct), nil
