--- a/internal/fleet/peer/client.go
+++ b/internal/fleet/peer/client.go
@@ -187,7 +187,7 @@
 		return nil, false, pdl.err
 	}
 	if !pdl.cnn.acquire() {
-		return nil, false, errors.New("new connection was closed before its first call")
+		return nil, false, errors.New("connection closed at once")
 	}
 	return pdl.cnn, true, nil
 }
--- a/internal/fleet/peer/dispatch.go
+++ b/internal/fleet/peer/dispatch.go
@@ -211,7 +211,7 @@
 func (scd *serverCodec) refuse(name string, err error) error {
 	scd.srv.cfg.Logger.Warn("peer-arguments-refused",
 		zap.Stringer("from", scd.con.RemoteAddr()), zap.String("method", name), zap.Error(err))
-	return errors.Wrapf(err, "do not match the parameters of %s", name)
+	return errors.Wrapf(err, "do not fit %s", name)
 }
 
 // WriteResponse implements rpc.ServerCodec.
@@ -235,7 +235,7 @@
 		if err = scd.fwr.encode(hdr, out.reply); err != nil {
 			scd.srv.cfg.Logger.Warn("peer-reply-not-encoded", zap.Error(err))
 			hdr = hdr.withFailure(&cardamompass.UnknownOutcomeError{
-				Reason: "reply could not be encoded: " + err.Error(),
+				Reason: "reply could not be sent: " + err.Error(),
 			})
 		}
 	}
--- a/internal/fleet/peer/frame.go
+++ b/internal/fleet/peer/frame.go
@@ -166,7 +166,7 @@
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
-		return errors.Wrap(err, "truncated frame")
+		return errors.Wrap(err, "frame cut short")
 	}
 	frd.msg.Reset(frd.buf.Bytes())
 	if num&newStreamBit != 0 || frd.dec == nil {
@@ -269,7 +269,7 @@
 	Err error
 }
 
-func (err *RemoteError) Error() string { return "peer returned an error: " + err.Text }
+func (err *RemoteError) Error() string { return "peer answered: " + err.Text }
 
 // Unwrap returns Err.
 func (err *RemoteError) Unwrap() error { return err.Err }
--- a/internal/fleet/spread/agent.go
+++ b/internal/fleet/spread/agent.go
@@ -113,7 +113,7 @@
 	return agt, agt.stop, nil
 }
 
-// Current returns the document in force; ok is false while there is none. It never blocks.
+// Current returns the active document; ok is false while there is none. It never blocks.
 func (agt *Agent[D]) Current() (doc D, ok bool) {
 	ptr := agt.current.Load()
 	if ptr == nil {
@@ -122,7 +122,7 @@
 	return *ptr, true
 }
 
-// Subscribe returns a channel that receives a value after the document in force has changed; several changes may be
+// Subscribe returns a channel that receives a value after the active document has changed; several changes may be
 // combined into one value. Cancel ends the subscription.
 func (agt *Agent[D]) Subscribe() (changes <-chan struct{}, cancel func()) {
 	sub := make(chan struct{}, 1)
--- a/internal/fleet/spread/core.go
+++ b/internal/fleet/spread/core.go
@@ -124,10 +124,10 @@
 	return cor
 }
 
-// Current returns the document in force; ok is false while there is none.
+// Current returns the active document; ok is false while there is none.
 func (cor *Core[D]) Current() (doc D, ok bool) { return cor.doc, cor.sum.Version > 0 }
 
-// Summary returns the summary of the document in force.
+// Summary returns the summary of the active document.
 func (cor *Core[D]) Summary() Summary { return cor.sum }
 
 // Apply processes one event and returns the effects that the driver has to execute.
@@ -167,7 +167,7 @@
 	return dur/2 + time.Duration(cor.rng.Int63n(int64(dur)+1))
 }
 
-// mergeDoc merges a document into the one in force and pushes the change.
+// mergeDoc merges a document into the active one and pushes the change.
 func (cor *Core[D]) mergeDoc(doc D) (changed bool) {
 	had := cor.sum
 	merged := doc
@@ -289,7 +289,7 @@
 	return rep
 }
 
-// encodedDoc returns the encoded document in force.
+// encodedDoc returns the encoded active document.
 func (cor *Core[D]) encodedDoc() (data []byte, err error) {
 	if cor.encoded == nil {
 		cor.encoded, err = cor.cfg.Codec.Encode(cor.doc)
--- a/internal/fleet/spread/doc.go
+++ b/internal/fleet/spread/doc.go
@@ -12,12 +12,12 @@
 //
 // # Guarantees
 //
-//   - The document in force never goes back: it is replaced only by its merge with another document.
+//   - The active document never goes back: it is replaced only by its merge with another document.
 //   - A delta is merged only into a document that contains everything the delta is based on, so that a document never
 //     has a version without the content of that version.
 //   - Readers never block.
 //   - VMs that do not watch call the store only at their start and only while no peer has the document.
-//   - When the store lacks part of the document in force, for example after it was restored to an older state, a watcher
+//   - When the store lacks part of the active document, for example after it was restored to an older state, a watcher
 //     writes the merged document back by compare-and-swap.
 package spread
 
--- a/internal/fleet/spread/event.go
+++ b/internal/fleet/spread/event.go
@@ -147,7 +147,7 @@
 	Revision int64
 }
 
-// Changed reports that the document in force changed.
+// Changed reports that the active document changed.
 type Changed struct{}
 
 // Rejected reports a document that could not be encoded or decoded, or that is too large for the store.
--- a/internal/fleet/spread/store.go
+++ b/internal/fleet/spread/store.go
@@ -165,7 +165,7 @@
 	return cor.jitter(*delay)
 }
 
-// scheduleWrite schedules a write if the document in the store differs from the document in force.
+// scheduleWrite schedules a write if the document in the store differs from the active document.
 func (cor *Core[D]) scheduleWrite(now time.Time) {
 	sst := &cor.store
 	if cor.sum.Version == 0 || !sst.known || sst.digest == cor.sum.Digest {
