--- a/cmd/cardamompass/catalogue.go
+++ b/cmd/cardamompass/catalogue.go
@@ -41,10 +41,10 @@
 		return nil, nil, nil, errors.WithMessage(err, "store")
 	}
 	return catlg.NewEditor(catlg.EditorConfig{
-		Store: str,
-		Key:   flg.Key,
-		Clock: cardamompass.SystemClock{},
-		Who:   who,
+		Store:    str,
+		Key:      flg.Key,
+		Clock:    cardamompass.SystemClock{},
+		EditedBy: who,
 	}), str, cleanup, nil
 }
 
--- a/internal/conf/catlg/editor.go
+++ b/internal/conf/catlg/editor.go
@@ -22,8 +22,8 @@
 	Key string
 	// Clock stamps edits and times the pauses between attempts.
 	Clock cardamompass.Clock
-	// Who makes the edits.
-	Who string
+	// EditedBy names the person who makes the edits.
+	EditedBy string
 }
 
 // Editor reads and edits the document in the store. It is safe for concurrent use and holds no resources.
@@ -137,7 +137,7 @@
 var editIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 func (edt *Editor) put(ctx context.Context, id string, base uint64, chgs []Change) (acc Accepted, err error) {
-	if !printable(edt.cfg.Who) {
+	if !printable(edt.cfg.EditedBy) {
 		return Accepted{}, &cardamompass.InvalidError{
 			Field:  "edited-by",
 			Reason: "name the person who makes the edit, in 1 to 128 printable characters",
--- a/internal/conf/catlg/editor_test.go
+++ b/internal/conf/catlg/editor_test.go
@@ -116,7 +116,7 @@
 }
 
 func editor(str cardamompass.Store, who string) *catlg.Editor {
-	return catlg.NewEditor(catlg.EditorConfig{Store: str, Key: "catalogue", Clock: instantClock{}, Who: who})
+	return catlg.NewEditor(catlg.EditorConfig{Store: str, Key: "catalogue", Clock: instantClock{}, EditedBy: who})
 }
 
 // filled returns a store with service svc, regions a to e and a shift from a to b.
@@ -207,13 +207,13 @@
 		t.Fatalf("disjoint edit is refused: %v", err)
 	}
 	for _, edited := range []*catlg.Document{base.WithEntry(shiftEntry(t, "b", "ben", 3)), base.WithDeleted("shift/svc/a/b")} {
-		var rac *catlg.RaceError
+		var rac *catlg.EditConflictError
 		if err := put(ben, edited); !errors.As(err, &rac) {
 			t.Fatalf("error is %v, want a race", err)
 		}
-		want := catlg.Race{Entry: "shift/svc/a/b", Read: 1, Have: 2, By: "ana", At: testTime}
-		if len(rac.Races) != 1 || rac.Races[0] != want {
-			t.Fatalf("races %+v", rac.Races)
+		want := catlg.EditConflict{Entry: "shift/svc/a/b", Read: 1, Have: 2, By: "ana", At: testTime}
+		if len(rac.Conflicts) != 1 || rac.Conflicts[0] != want {
+			t.Fatalf("races %+v", rac.Conflicts)
 		}
 	}
 	// Each of the two edits is valid alone; together the shift would refer to a deleted region.
--- a/internal/conf/catlg/errors.go
+++ b/internal/conf/catlg/errors.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Race is one entry that changed since it was read.
-type Race struct {
+// EditConflict is one entry that changed since it was read.
+type EditConflict struct {
 	// Entry names the entry.
 	Entry EntryName
 	// Read is the version on which the refused edit was based, Have the version in the store. 0 means none.
@@ -19,7 +19,7 @@
 }
 
 // String describes the race for people.
-func (rac Race) String() string {
+func (rac EditConflict) String() string {
 	if rac.Have == 0 {
 		return fmt.Sprintf("%s was read at version %d and is not in the store", rac.Entry, rac.Read)
 	}
@@ -27,17 +27,17 @@
 		rac.Entry, rac.Read, rac.Have, rac.By, rac.At.Format(time.RFC3339))
 }
 
-// RaceError refuses an edit because others edited the same entries first. Nothing was changed.
-type RaceError struct {
+// EditConflictError refuses an edit because others edited the same entries first. Nothing was changed.
+type EditConflictError struct {
 	// EditID identifies the refused edit.
 	EditID string
-	// Races lists the entries in the order of their names.
-	Races []Race
+	// Conflicts lists the entries in the order of their names.
+	Conflicts []EditConflict
 }
 
-func (err *RaceError) Error() string {
-	txts := make([]string, 0, len(err.Races))
-	for _, rac := range err.Races {
+func (err *EditConflictError) Error() string {
+	txts := make([]string, 0, len(err.Conflicts))
+	for _, rac := range err.Conflicts {
 		txts = append(txts, rac.String())
 	}
 	return "edit refused, entries changed since they were read: " + strings.Join(txts, "; ")
--- a/internal/conf/catlg/parse.go
+++ b/internal/conf/catlg/parse.go
@@ -140,13 +140,13 @@
 		ents    = map[EntryName]Entry{}
 		version uint64
 	)
-	if nod, ok := obj.Need("version"); ok {
+	if nod, ok := obj.Require("version"); ok {
 		version = readVersion(nod)
 	}
 	if nod, ok := obj.Get("edits"); ok {
 		edits = readEdits(nod)
 	}
-	if nod, ok := obj.Need("entries"); ok {
+	if nod, ok := obj.Require("entries"); ok {
 		for _, mem := range nod.Object().Members() {
 			ent := readEntry(EntryName(mem.Name), mem.Node)
 			ents[ent.Name] = ent
@@ -181,10 +181,10 @@
 	rdr := specReader{Object: obj}
 	rec.ID = rdr.text("id")
 	rec.By = rdr.text("by")
-	if nod, ok := obj.Need("version"); ok {
+	if nod, ok := obj.Require("version"); ok {
 		rec.Version = readVersion(nod)
 	}
-	if nod, ok := obj.Need("content"); ok {
+	if nod, ok := obj.Require("content"); ok {
 		txt, good := nod.Text()
 		sum, err := strconv.ParseUint(txt, 16, 64)
 		if good && (err != nil || formatContent(sum) != txt) {
@@ -225,7 +225,7 @@
 		}
 		return ent
 	}
-	if one, ok := obj.Need("spec"); ok {
+	if one, ok := obj.Require("spec"); ok {
 		return ent.withSpec(decodeSpec(nam, one))
 	}
 	return ent
--- a/internal/conf/catlg/adopt.go
+++ b/internal/conf/catlg/rebase.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Adopt returns the stored document with those edits moved to the front that the store accepted after it was restored to an
+// Rebase returns the stored document with those edits moved to the front that the store accepted after it was restored to an
 // older state. Merged with the document in force, they win over what they were made on, as every later edit does.
 //
 // Such an edit has a version that the document in force knows under another edit id. An edit that is merely older, as in a
 // late answer of the store, has a version and an id that are both known. Edits further back than the MaxEdits records of the
 // document in force can't be told apart and are left as they are.
-func Adopt(inForce, stored *Document) *Document {
+func Rebase(inForce, stored *Document) *Document {
 	forks := forkedEdits(inForce, stored)
 	if len(forks) == 0 {
 		return stored
--- a/internal/conf/catlg/adopt_test.go
+++ b/internal/conf/catlg/rebase_test.go
@@ -46,11 +46,11 @@
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			merged := catlg.Merge(inForce, catlg.Adopt(inForce, tst.stored))
+			merged := catlg.Merge(inForce, catlg.Rebase(inForce, tst.stored))
 			if ent, _ := merged.Entry("region/a"); ent.Owner != tst.want {
 				t.Fatalf("owner %s in force, want %s", ent.Owner, tst.want)
 			}
-			if again := catlg.Merge(merged, catlg.Adopt(merged, tst.stored)); again.Digest() != merged.Digest() {
+			if again := catlg.Merge(merged, catlg.Rebase(merged, tst.stored)); again.Digest() != merged.Digest() {
 				t.Fatal("the same value of the store changes the document again")
 			}
 		})
--- a/internal/conf/catlg/settle.go
+++ b/internal/conf/catlg/settle.go
@@ -157,14 +157,14 @@
 // prepare applies the changes to the current document.
 func (ppt *pendingPut) prepare(cur *Document) (nxt *Document, data []byte, err error) {
 	var (
-		rcs  []Race
+		rcs  []EditConflict
 		ents []Entry
 		ver  = cur.Version() + 1
 	)
 	for _, chg := range ppt.chgs {
 		now := cur.ents[chg.Name]
 		if now.Name != chg.Old.Name || now.compare(chg.Old) != 0 {
-			rcs = append(rcs, Race{
+			rcs = append(rcs, EditConflict{
 				Entry: chg.Name,
 				Read:  chg.Old.Version,
 				Have:  now.Version,
@@ -178,13 +178,13 @@
 		}
 		// An entry that is gone needs no second tombstone, whoever owned it.
 		if (ent.live() || now.live()) && !ent.SameContent(now) {
-			ents = append(ents, ent.stamped(ver, ppt.edt.cfg.Who, ppt.at))
+			ents = append(ents, ent.stamped(ver, ppt.edt.cfg.EditedBy, ppt.at))
 		}
 	}
 	if len(rcs) > 0 {
-		return nil, nil, &RaceError{
-			EditID: ppt.id,
-			Races:  rcs,
+		return nil, nil, &EditConflictError{
+			EditID:    ppt.id,
+			Conflicts: rcs,
 		}
 	}
 	if len(ents) == 0 {
@@ -196,7 +196,7 @@
 	nxt = cur.WithEntry(ents...).withEdit(EditRecord{
 		ID:      ppt.id,
 		Version: ver,
-		By:      ppt.edt.cfg.Who,
+		By:      ppt.edt.cfg.EditedBy,
 		Content: ppt.sum,
 	})
 	if err = addedFaults(cur, nxt); err != nil {
--- a/internal/conf/catlg/spec.go
+++ b/internal/conf/catlg/spec.go
@@ -115,14 +115,14 @@
 }
 
 func (rdr specReader) text(name string) (txt string) {
-	if nod, ok := rdr.Need(name); ok {
+	if nod, ok := rdr.Require(name); ok {
 		txt, _ = nod.Text()
 	}
 	return txt
 }
 
 func (rdr specReader) number(name string, most int64) (num int64) {
-	if nod, ok := rdr.Need(name); ok {
+	if nod, ok := rdr.Require(name); ok {
 		num, _ = nod.Int(0, most)
 	}
 	return num
@@ -181,7 +181,7 @@
 
 func decodeRegion(rdr specReader, name string) (spec cardamompass.RegionInfo) {
 	spec.Name = cardamompass.Region(name)
-	spec.FailureDomains = texts[cardamompass.FailureDomain](rdr.Need("failure-domains"))
+	spec.FailureDomains = texts[cardamompass.FailureDomain](rdr.Require("failure-domains"))
 	spec.FallbackRegions = texts[cardamompass.Region](rdr.Get("near"))
 	return spec
 }
@@ -211,7 +211,7 @@
 
 func decodeClients(rdr specReader) (spec cardamompass.ClientBlocks) {
 	spec.Region = cardamompass.Region(rdr.text("region"))
-	nod, ok := rdr.Need("prefixes")
+	nod, ok := rdr.Require("prefixes")
 	if !ok {
 		return spec
 	}
--- a/internal/conf/config/read.go
+++ b/internal/conf/config/read.go
@@ -73,7 +73,7 @@
 
 // name reads a name that must be given.
 func (grp group) name(name string) string {
-	nod, ok := grp.Need(name)
+	nod, ok := grp.Require(name)
 	if !ok {
 		return ""
 	}
@@ -86,7 +86,7 @@
 
 // listen reads an address that must be given.
 func (grp group) listen(name string) string {
-	nod, ok := grp.Need(name)
+	nod, ok := grp.Require(name)
 	if !ok {
 		return ""
 	}
@@ -153,14 +153,14 @@
 	}
 	set.AdvertiseCallerAddress = grp.remote("advertise-caller-address", set.CallerAddress)
 	set.AdvertisePeerAddress = grp.remote("advertise-peer-address", set.PeerAddress)
-	if nod, ok := grp.Need("store-address"); ok {
+	if nod, ok := grp.Require("store-address"); ok {
 		set.StoreAddress = address(nod, false)
 	}
 	return set
 }
 
 func readKey(grp group) Secret {
-	nod, ok := grp.Need("peer-key")
+	nod, ok := grp.Require("peer-key")
 	if !ok {
 		return Secret{}
 	}
--- a/internal/conf/jsonc/node.go
+++ b/internal/conf/jsonc/node.go
@@ -277,8 +277,8 @@
 	return obj.find(name)
 }
 
-// Need is Get for a member that must be there.
-func (obj *Object) Need(name string) (nod Node, ok bool) {
+// Require is Get for a member that must be there.
+func (obj *Object) Require(name string) (nod Node, ok bool) {
 	nod, ok = obj.Get(name)
 	if !ok && !obj.bad {
 		obj.nod.Fail("%q is missing", name)
--- a/internal/edge/entry/updates.go
+++ b/internal/edge/entry/updates.go
@@ -41,7 +41,7 @@
 
 func (dcm document) Adopt(stored document) document {
 	return document{
-		doc: catlg.Adopt(dcm.doc, stored.doc),
+		doc: catlg.Rebase(dcm.doc, stored.doc),
 	}
 }
 
--- a/internal/plat/httpc/httpc.go
+++ b/internal/plat/httpc/httpc.go
@@ -38,8 +38,8 @@
 	Address string
 	// Timeout bounds every call, its dial included. Zero means DefaultTimeout.
 	Timeout time.Duration
-	// MaxAnswerBytes bounds the body of an answer.
-	MaxAnswerBytes int64
+	// MaxResponseBytes bounds the body of an answer.
+	MaxResponseBytes int64
 }
 
 // Client calls one service. It is safe for concurrent use.
@@ -58,8 +58,8 @@
 	Header http.Header
 	// Body is encoded as JSON unless it is nil.
 	Body any
-	// ExtraTime is added to the timeout of the client, for calls that wait at the service.
-	ExtraTime time.Duration
+	// ExtraTimeout is added to the timeout of the client, for calls that wait at the service.
+	ExtraTimeout time.Duration
 }
 
 // Reply is the whole answer to a call.
@@ -78,7 +78,7 @@
 			Reason: "must be host:port by IP number: " + err.Error(),
 		}
 	}
-	if cfg.Timeout < 0 || cfg.MaxAnswerBytes <= 0 {
+	if cfg.Timeout < 0 || cfg.MaxResponseBytes <= 0 {
 		return nil, nil, &cardamompass.InvalidError{
 			Field:  "timeout or answer size",
 			Reason: "must be positive",
@@ -113,7 +113,7 @@
 // process.
 func (cli *Client) Do(ctx context.Context, cal Call) (rpl Reply, sent bool, err error) {
 	defer func() { err = errors.Wrapf(err, "%s %s", cal.Method, cal.Target) }()
-	ctx, cancel := context.WithTimeout(ctx, cli.cfg.Timeout+cal.ExtraTime)
+	ctx, cancel := context.WithTimeout(ctx, cli.cfg.Timeout+cal.ExtraTimeout)
 	defer cancel()
 	var snt atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, sentTrace(&snt))
@@ -126,12 +126,12 @@
 		return Reply{}, snt.Load(), err
 	}
 	defer func() { _ = rsp.Body.Close() }()
-	dat, err := io.ReadAll(io.LimitReader(rsp.Body, cli.cfg.MaxAnswerBytes+1))
+	dat, err := io.ReadAll(io.LimitReader(rsp.Body, cli.cfg.MaxResponseBytes+1))
 	if err != nil {
 		return Reply{}, true, err
 	}
-	if int64(len(dat)) > cli.cfg.MaxAnswerBytes {
-		return Reply{}, true, errors.Errorf("answer is longer than %d bytes", cli.cfg.MaxAnswerBytes)
+	if int64(len(dat)) > cli.cfg.MaxResponseBytes {
+		return Reply{}, true, errors.Errorf("answer is longer than %d bytes", cli.cfg.MaxResponseBytes)
 	}
 	return Reply{
 		Status: rsp.StatusCode,
--- a/internal/plat/kvhttp/kvhttp.go
+++ b/internal/plat/kvhttp/kvhttp.go
@@ -43,9 +43,9 @@
 func New(cfg Config) (sto *Store, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "store client") }()
 	cli, cleanup, err := httpc.New(httpc.Config{
-		Address:        cfg.Address,
-		Timeout:        cfg.Timeout,
-		MaxAnswerBytes: maxAnswerBytes,
+		Address:          cfg.Address,
+		Timeout:          cfg.Timeout,
+		MaxResponseBytes: maxAnswerBytes,
 	})
 	if err != nil {
 		return nil, nil, err
@@ -97,9 +97,9 @@
 	qry.Set("after-revision", strconv.FormatInt(after, 10))
 	qry.Set("wait-ms", strconv.FormatInt(milliseconds(wait), 10))
 	return kst.read(ctx, key, httpc.Call{
-		Method:    http.MethodGet,
-		Target:    trg + "?" + qry.Encode(),
-		ExtraTime: wait,
+		Method:       http.MethodGet,
+		Target:       trg + "?" + qry.Encode(),
+		ExtraTimeout: wait,
 	})
 }
 
--- a/internal/plat/vmlist/vmlist.go
+++ b/internal/plat/vmlist/vmlist.go
@@ -38,9 +38,9 @@
 func New(cfg Config) (lst *Lister, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "VM list client") }()
 	cli, cleanup, err := httpc.New(httpc.Config{
-		Address:        cfg.Address,
-		Timeout:        cfg.Timeout,
-		MaxAnswerBytes: maxAnswerBytes,
+		Address:          cfg.Address,
+		Timeout:          cfg.Timeout,
+		MaxResponseBytes: maxAnswerBytes,
 	})
 	if err != nil {
 		return nil, nil, err
--- a/internal/stand/demo/demo.go
+++ b/internal/stand/demo/demo.go
@@ -123,10 +123,10 @@
 	}
 	sit.onCleanup(stop)
 	sit.Editor = catlg.NewEditor(catlg.EditorConfig{
-		Store: sto,
-		Key:   entry.CatalogueKey,
-		Clock: cardamompass.SystemClock{},
-		Who:   "demo",
+		Store:    sto,
+		Key:      entry.CatalogueKey,
+		Clock:    cardamompass.SystemClock{},
+		EditedBy: "demo",
 	})
 	return nil
 }
--- a/internal/stand/procs/site.go
+++ b/internal/stand/procs/site.go
@@ -205,10 +205,10 @@
 	}
 	sit.onCleanup(stop)
 	sit.Editor = catlg.NewEditor(catlg.EditorConfig{
-		Store: sto,
-		Key:   entry.CatalogueKey,
-		Clock: cardamompass.SystemClock{},
-		Who:   "procs",
+		Store:    sto,
+		Key:      entry.CatalogueKey,
+		Clock:    cardamompass.SystemClock{},
+		EditedBy: "procs",
 	})
 	return nil
 }
