--- a/internal/steer/health/track.go
+++ b/internal/steer/health/track.go
@@ -40,7 +40,7 @@
 	// Self is the VM, for the rendezvous order.
 	Self cardamompass.VMID
 	// Announce is called with each new own signal, outside of all locks, in the goroutine that reported the signal. It must
-	// send the signal to the peers at once, and must not wait for their responses. It may be nil.
+	// send the signal to the peers at once, and must not wait for their replies. It may be nil.
 	Announce func(rep LeavingReport)
 }
 
--- a/internal/steer/route/diff_test.go
+++ b/internal/steer/route/policy_test.go
@@ -37,19 +37,19 @@
 	cfg.naive = true
 	naive := runSim(cfg)
 	cfg.naive, cfg.stragglers = false, false
-	calm := runSim(cfg)
+	healthy := runSim(cfg)
 	t.Logf("p99 naive %v, policy %v, policy without stragglers %v; hedges %d and %d of %d",
-		naive.p99, policy.p99, calm.p99, policy.hedges, calm.hedges, policy.requests)
+		naive.p99, policy.p99, healthy.p99, policy.hedges, healthy.hedges, policy.requests)
 	if 4*policy.p99 > naive.p99 {
 		t.Errorf("p99 %v is more than a quarter of naive's %v", policy.p99, naive.p99)
 	}
-	if 2*policy.p99 > 3*calm.p99 {
-		t.Errorf("p99 %v is more than 1.5 times the %v without stragglers", policy.p99, calm.p99)
+	if 2*policy.p99 > 3*healthy.p99 {
+		t.Errorf("p99 %v is more than 1.5 times the %v without stragglers", policy.p99, healthy.p99)
 	}
-	if 100*policy.hedges > 3*policy.requests || 100*calm.hedges > 3*calm.requests {
-		t.Errorf("%d and %d hedges are more than 3%% of %d requests", policy.hedges, calm.hedges, policy.requests)
+	if 100*policy.hedges > 3*policy.requests || 100*healthy.hedges > 3*healthy.requests {
+		t.Errorf("%d and %d hedges are more than 3%% of %d requests", policy.hedges, healthy.hedges, policy.requests)
 	}
-	if policy.shareExceeded+calm.shareExceeded > 0 {
-		t.Errorf("requests in flight exceeded the share %d times", policy.shareExceeded+calm.shareExceeded)
+	if policy.shareExceeded+healthy.shareExceeded > 0 {
+		t.Errorf("requests in flight exceeded the share %d times", policy.shareExceeded+healthy.shareExceeded)
 	}
 }
