--- a/internal/conf/catlg/bench_test.go
+++ b/internal/conf/catlg/bench_test.go
@@ -11,9 +11,9 @@
 	"cardamompass/internal/conf/catlg"
 )
 
-// costDocument is a catalogue of 4 regions with 11 failure domains and the given number of sites, each with 32 targets,
-// as many as all sites of one user have today. Each site has one entry of client blocks, with the given number of them.
-func costDocument(b *testing.B, sites, blocks int) *catlg.Document {
+// largeDocument returns a catalogue of 4 regions with 11 failure domains and the given number of sites, each with 32 targets,
+// as many as all sites of one user have today. Each site has one entry with the given number of client blocks.
+func largeDocument(b *testing.B, sites, blocks int) *catlg.Document {
 	var ents []catlg.Entry
 	add := func(ent catlg.Entry, err error) {
 		if err != nil {
@@ -49,19 +49,19 @@
 		}
 		cls := cardamompass.ClientBlocks{Region: regions[site%4]}
 		for range blocks {
-			// Multiplication by an odd number visits every /24 block once, in a scattered order.
+			// Multiplication by an odd number yields every /24 block once, in a scattered order.
 			num := block * 40503 & (1<<24 - 1)
 			cls.Prefixes = append(cls.Prefixes, netip.PrefixFrom(netip.AddrFrom4([4]byte{byte(num >> 16), byte(num >> 8), byte(num)}), 24))
 			block++
 		}
 		add(catlg.NewEntry(catlg.EntryName(fmt.Sprintf("clients/site-%02d", site)), "network", cls))
 	}
-	return stamped(b, catlg.Empty().WithEntry(ents...))
+	return withHistory(b, catlg.Empty().WithEntry(ents...))
 }
 
-// stamped returns the document as it looks after years of edits: each entry with version, editor and time, and the
-// records of the last 64 edits.
-func stamped(b *testing.B, doc *catlg.Document) *catlg.Document {
+// withHistory returns the document as it is after years of edits: each entry has a version, an author and a time, and the
+// document has the records of the last 64 edits.
+func withHistory(b *testing.B, doc *catlg.Document) *catlg.Document {
 	txt := strings.ReplaceAll(marshal(b, doc), `,"version":0,`, `,"version":401500,"edited-by":"operator-12","edited-at":"2026-01-02T03:04:05.123456789Z",`)
 	var edits []string
 	for num := range catlg.MaxEdits {
@@ -75,11 +75,11 @@
 	return doc
 }
 
-// BenchmarkEntryBytes reports what one target, its tombstone, one client block and the part of an edit add to the stored
-// document.
+// BenchmarkEntryBytes reports the number of bytes that one target, its tombstone and one client block add to the stored
+// document, and the size of the delta of an edit.
 func BenchmarkEntryBytes(b *testing.B) {
 	size := func(doc *catlg.Document) float64 { return float64(len(marshal(b, doc))) }
-	doc := costDocument(b, 3, 10)
+	doc := largeDocument(b, 3, 10)
 	name := catlg.TargetEntry("site-00-kiosk-core-00")
 	ent, _ := doc.Entry(name)
 	bare := catlg.Empty()
@@ -88,17 +88,17 @@
 	}
 	b.ReportMetric(size(bare.WithEntry(ent))-size(bare), "B/target")
 	b.ReportMetric(size(bare.WithEntry(ent.Tombstone()))-size(bare), "B/tombstone")
-	b.ReportMetric((size(costDocument(b, 3, 1010))-size(doc))/3000, "B/block")
+	b.ReportMetric((size(largeDocument(b, 3, 1010))-size(doc))/3000, "B/block")
 	b.ReportMetric(size(doc.Since(401500).WithEntry(ent)), "B/part-of-an-edit")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkCatalogueMemory reports the memory that a parsed catalogue keeps, with the view of it.
+// BenchmarkCatalogueMemory reports the memory that a parsed document and its catalogue occupy.
 func BenchmarkCatalogueMemory(b *testing.B) {
 	for _, size := range []struct{ sites, blocks int }{{3, 10}, {12, 10}, {30, 10}, {89, 10}, {89, 400}, {89, 1600}} {
-		data := []byte(marshal(b, costDocument(b, size.sites, size.blocks)))
+		data := []byte(marshal(b, largeDocument(b, size.sites, size.blocks)))
 		b.Run(fmt.Sprintf("sites=%d/blocks=%d", size.sites, size.sites*size.blocks), func(b *testing.B) {
-			var held uint64
+			var retained uint64
 			for b.Loop() {
 				before := heapBytes()
 				doc, err := catlg.Parse(data)
@@ -106,10 +106,10 @@
 					b.Fatal(err)
 				}
 				cat := catlg.NewCatalogue(doc)
-				held = heapBytes() - before
+				retained = heapBytes() - before
 				runtime.KeepAlive(cat)
 			}
-			b.ReportMetric(float64(held)/(1<<20), "MiB")
+			b.ReportMetric(float64(retained)/(1<<20), "MiB")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
@@ -122,17 +122,17 @@
 	return mst.HeapAlloc
 }
 
-// BenchmarkCatalogue measures what an edit costs an entry VM, by the number of sites. The time until an edit is in force
-// contains parse, merge and catalogue at each hop. bytes/limit above 1 does not fit the store.
+// BenchmarkCatalogue measures the cost of an edit at an entry VM for different numbers of sites. The time until an edit is
+// active includes parse, merge and catalogue at each hop. A document with bytes/limit above 1 does not fit into the store.
 func BenchmarkCatalogue(b *testing.B) {
 	for _, size := range []struct{ sites, blocks int }{{3, 10}, {12, 10}, {30, 10}, {89, 10}, {89, 400}, {89, 1600}} {
-		doc := costDocument(b, size.sites, size.blocks)
+		doc := largeDocument(b, size.sites, size.blocks)
 		data := []byte(marshal(b, doc))
-		part := catlg.Empty().WithEntry(doc.Entries()[0].Tombstone())
+		delta := catlg.Empty().WithEntry(doc.Entries()[0].Tombstone())
 		for name, run := range map[string]func(){
 			"parse":     func() { _, _ = catlg.Parse(data) },
 			"marshal":   func() { _, _ = catlg.Marshal(doc) },
-			"merge":     func() { catlg.Merge(doc, part) },
+			"merge":     func() { catlg.Merge(doc, delta) },
 			"digest":    func() { doc.WithEntry().Digest() },
 			"catalogue": func() { catlg.NewCatalogue(doc) },
 		} {
--- a/internal/conf/catlg/catalogue.go
+++ b/internal/conf/catlg/catalogue.go
@@ -6,13 +6,13 @@
 	"cardamompass"
 )
 
-type place struct {
+type serviceRegion struct {
 	svc cardamompass.ServiceName
 	reg cardamompass.Region
 }
 
-// Catalogue is the view of a document that steering uses: the entries in force, by name. It is immutable and safe for
-// concurrent use. Callers must not modify the slices that it returns.
+// Catalogue indexes the entries of a document that are not deleted, by type and name, for use in steering. It is immutable
+// and safe for concurrent use. Callers must not modify the slices that it returns.
 type Catalogue struct {
 	doc      *Document
 	regions  []cardamompass.RegionInfo
@@ -20,15 +20,15 @@
 	links    []cardamompass.Link
 	shifts   []cardamompass.ShiftLimit
 	clients  []cardamompass.ClientBlocks
-	targets  map[place][]cardamompass.Target
+	targets  map[serviceRegion][]cardamompass.Target
 }
 
-// NewCatalogue returns the view of doc. Entries are taken as they are: a VM may hold entries of which the referenced
-// ones have not arrived yet.
+// NewCatalogue returns the catalogue of doc. It does not check references between entries: a VM may hold entries whose
+// referenced entries have not arrived yet.
 func NewCatalogue(doc *Document) (cat *Catalogue) {
 	cat = &Catalogue{
 		doc:     doc,
-		targets: map[place][]cardamompass.Target{},
+		targets: map[serviceRegion][]cardamompass.Target{},
 	}
 	for _, ent := range doc.Entries() {
 		switch spc := ent.spec.(type) {
@@ -37,11 +37,11 @@
 		case cardamompass.Service:
 			cat.services = append(cat.services, spc)
 		case cardamompass.Target:
-			plc := place{
+			key := serviceRegion{
 				svc: spc.Service,
 				reg: spc.Region,
 			}
-			cat.targets[plc] = append(cat.targets[plc], spc)
+			cat.targets[key] = append(cat.targets[key], spc)
 		case cardamompass.Link:
 			cat.links = append(cat.links, spc)
 		case cardamompass.ShiftLimit:
@@ -56,10 +56,10 @@
 // Version returns the document's version.
 func (cat *Catalogue) Version() uint64 { return cat.doc.Version() }
 
-// Document returns the document that is viewed.
+// Document returns the document that the catalogue indexes.
 func (cat *Catalogue) Document() *Document { return cat.doc }
 
-func specAt[S Spec](doc *Document, nam EntryName) (spec S, ok bool) {
+func lookupSpec[S Spec](doc *Document, nam EntryName) (spec S, ok bool) {
 	ent, ok := doc.ents[nam]
 	if !ok {
 		return spec, false
@@ -69,7 +69,7 @@
 
 // Region returns a region.
 func (cat *Catalogue) Region(reg cardamompass.Region) (inf cardamompass.RegionInfo, ok bool) {
-	return specAt[cardamompass.RegionInfo](cat.doc, RegionEntry(reg))
+	return lookupSpec[cardamompass.RegionInfo](cat.doc, RegionEntry(reg))
 }
 
 // Regions returns all regions in the order of their names.
@@ -77,7 +77,7 @@
 
 // Service returns a service.
 func (cat *Catalogue) Service(nam cardamompass.ServiceName) (svc cardamompass.Service, ok bool) {
-	return specAt[cardamompass.Service](cat.doc, ServiceEntry(nam))
+	return lookupSpec[cardamompass.Service](cat.doc, ServiceEntry(nam))
 }
 
 // Services returns all services in the order of their names.
@@ -85,12 +85,12 @@
 
 // Target returns a target.
 func (cat *Catalogue) Target(tid cardamompass.TargetID) (tgt cardamompass.Target, ok bool) {
-	return specAt[cardamompass.Target](cat.doc, TargetEntry(tid))
+	return lookupSpec[cardamompass.Target](cat.doc, TargetEntry(tid))
 }
 
 // TargetsOf returns the targets of a service in a region in the order of their ids.
 func (cat *Catalogue) TargetsOf(svc cardamompass.ServiceName, reg cardamompass.Region) []cardamompass.Target {
-	return cat.targets[place{
+	return cat.targets[serviceRegion{
 		svc: svc,
 		reg: reg,
 	}]
@@ -112,7 +112,7 @@
 
 // Link returns the link from one region to another.
 func (cat *Catalogue) Link(from, to cardamompass.Region) (lnk cardamompass.Link, ok bool) {
-	return specAt[cardamompass.Link](cat.doc, LinkEntry(from, to))
+	return lookupSpec[cardamompass.Link](cat.doc, LinkEntry(from, to))
 }
 
 // Links returns all links in the order of their names.
@@ -120,10 +120,10 @@
 
 // Shift returns the cap on a service's requests from callers of one region to targets of another.
 func (cat *Catalogue) Shift(svc cardamompass.ServiceName, from, to cardamompass.Region) (sft cardamompass.ShiftLimit, ok bool) {
-	return specAt[cardamompass.ShiftLimit](cat.doc, ShiftEntry(svc, from, to))
+	return lookupSpec[cardamompass.ShiftLimit](cat.doc, ShiftEntry(svc, from, to))
 }
 
-// Shifts returns all shifts in the order of their names.
+// Shifts returns all shift limits in the order of their names.
 func (cat *Catalogue) Shifts() []cardamompass.ShiftLimit { return cat.shifts }
 
 // Clients returns all client blocks in the order of their entries' names.
--- a/internal/conf/catlg/race_test.go
+++ b/internal/conf/catlg/concurrent_test.go
@@ -12,7 +12,7 @@
 	"cardamompass/internal/conf/catlg"
 )
 
-// attempted is one edit of the race: each marks its entry with a token of its own as owner.
+// attempted is one edit. It sets a unique token as the owner of its entry.
 type attempted struct {
 	token string
 	entry catlg.EntryName
@@ -21,8 +21,9 @@
 	err   error
 }
 
-// race lets editors put edits through a faulty store. One call of the store runs at a time, and the seed decides whose.
-func race(t *testing.T, rnd *rand.Rand, str *fakeStore) (all []*attempted) {
+// runEditors runs concurrent editors on a store with injected faults. Store calls run one at a time, in an order that the seed
+// determines.
+func runEditors(t *testing.T, rnd *rand.Rand, str *fakeStore) (all []*attempted) {
 	const editors, edits = 4, 6
 	type turn struct {
 		editor int
@@ -71,7 +72,7 @@
 		if live == 0 {
 			break
 		}
-		// The order of arrival depends on the scheduler of goroutines and must not decide.
+		// The order of arrival depends on the goroutine scheduler and must not influence the run.
 		slices.SortFunc(waiting, func(one, two turn) int { return one.editor - two.editor })
 		pick := rnd.IntN(len(waiting))
 		trn := waiting[pick]
@@ -79,7 +80,7 @@
 		if rnd.IntN(12) == 0 {
 			trn.kill()
 		}
-		trn.run <- []fault{none, none, held, held, refused, answerLost, writeLost, writeLate}[rnd.IntN(8)]
+		trn.run <- []fault{none, none, held, held, refused, responseLost, writeLost, writeLate}[rnd.IntN(8)]
 	}
 	str.before = nil
 	for _, lst := range results {
@@ -88,26 +89,26 @@
 	return all
 }
 
-// Guards against lost updates and false outcomes: every accepted edit is in the final document or was overwritten by a
-// later accepted edit of its entry, no refused edit ever was in the store, and each unknown outcome can be settled.
-func TestRacingEditors(t *testing.T) {
+// Guards against lost updates and wrong outcomes: every accepted edit is in the final document or was overwritten by a later
+// accepted edit of its entry, no refused edit was ever in the store, and each unknown outcome can be resolved.
+func TestConcurrentEditors(t *testing.T) {
 	num := uint64(seed(t))
 	outcomes := map[string]int{}
 	for rnd, idx := rand.New(rand.NewPCG(num, 1)), 0; idx < 100 && !t.Failed(); idx++ {
-		str, _ := filled(t)
-		all := race(t, rnd, str)
+		str, _ := filledStore(t)
+		all := runEditors(t, rnd, str)
 		accepted := map[string]bool{"o": true}
 		for _, att := range all {
 			var unk *catlg.EditUnknownError
 			if outcome := fmt.Sprintf("%T", errors.Unwrap(att.err)); errors.As(att.err, &unk) {
 				outcomes["unknown"]++
 				att.edit.ID = unk.EditID
-				att.acc, att.err = editor(str, "settler").Put(t.Context(), att.edit)
+				att.acc, att.err = editor(str, "resolver").Put(t.Context(), att.edit)
 			} else {
 				outcomes[outcome]++
 			}
 			if accepted[att.token] = att.err == nil; att.err == nil && att.edit.ID != "" {
-				outcomes["settled as accepted"]++
+				outcomes["resolved as accepted"]++
 			}
 		}
 		doc, _, err := editor(str, "reader").Get(t.Context())
@@ -123,14 +124,14 @@
 			case att.err == nil && (ent.Version < att.acc.Version || ent.Version == att.acc.Version && ent.Owner != att.token):
 				t.Errorf("run %d: %s was accepted at version %d, the entry has version %d of %s", idx, att.token, att.acc.Version, ent.Version, ent.Owner)
 			case ent.Name != "" && !accepted[ent.Owner]:
-				t.Errorf("run %d: %s of %s is in force without acceptance", idx, ent.Name, ent.Owner)
+				t.Errorf("run %d: %s of %s is in the document but was not accepted", idx, ent.Name, ent.Owner)
 			}
 		}
 	}
 	t.Log(outcomes)
-	for _, nam := range []string{"<nil>", "unknown", "settled as accepted"} {
+	for _, nam := range []string{"<nil>", "unknown", "resolved as accepted"} {
 		if outcomes[nam] == 0 {
-			t.Errorf("no edit ended as %s: the test does not reach it", nam)
+			t.Errorf("no edit ended as %s: the test does not cover this outcome", nam)
 		}
 	}
 }
--- a/internal/conf/catlg/diff.go
+++ b/internal/conf/catlg/diff.go
@@ -10,15 +10,14 @@
 
 // Change is the difference in one entry.
 type Change struct {
-	// Name names the entry.
 	Name EntryName
-	// Old and New are the entry's states. A state that does not exist has an empty Name.
+	// Old and New are the states of the entry. A state that does not exist has an empty Name.
 	Old Entry
 	New Entry
 }
 
-// Diff returns the entries whose content differs, in the order of their names. An entry that is missing equals a
-// deleted one.
+// Diff returns the entries whose content differs, in the order of their names. A missing entry and a deleted one count as
+// equal.
 func Diff(old, edited *Document) (chgs []Change) {
 	nams := map[EntryName]bool{}
 	for nam := range old.ents {
@@ -44,8 +43,8 @@
 
 func (ent Entry) live() bool { return ent.Name != "" && !ent.Deleted }
 
-// String describes the change for people: "+" for an added entry, "-" for a deleted one, "~" for a changed one with
-// each changed field.
+// String returns a readable description of the change: "+" for an added entry, "-" for a deleted one, "~" for a changed one
+// with each changed field.
 func (chg Change) String() string {
 	switch {
 	case !chg.Old.live():
@@ -78,7 +77,7 @@
 	return string(raw)
 }
 
-// fields returns the members of a spec's JSON form.
+// fields returns the members of a spec's JSON encoding.
 func fields(raw []byte) (flds map[string]json.RawMessage) {
 	if err := json.Unmarshal(raw, &flds); err != nil {
 		return nil
--- a/internal/conf/catlg/document.go
+++ b/internal/conf/catlg/document.go
@@ -16,15 +16,15 @@
 type EditRecord struct {
 	// ID identifies the edit.
 	ID string
-	// Version is the document version that the edit made.
+	// Version is the document version that the edit produced.
 	Version uint64
-	// By made the edit.
+	// By is the author of the edit.
 	By string
-	// Content is a hash of what the edit changes. It tells another edit under the same id from a repeated one.
+	// Content is a hash of what the edit changes. It distinguishes a repeated edit from another edit with the same id.
 	Content uint64
 }
 
-// Document is one state of the catalogue, or a part of one. It is immutable and safe for concurrent use.
+// Document is one state of the catalogue, or a subset of its entries. It is immutable and safe for concurrent use.
 type Document struct {
 	version uint64
 	edits   []EditRecord // the latest first
@@ -37,24 +37,24 @@
 	return newDocument(0, nil, nil)
 }
 
-// newDocument takes over its arguments.
+// newDocument takes ownership of edits and ents.
 func newDocument(version uint64, edits []EditRecord, ents map[EntryName]Entry) (doc *Document) {
 	doc = &Document{
 		version: version,
 		edits:   edits,
 		ents:    ents,
 	}
-	doc.digest = sync.OnceValue(doc.sum)
+	doc.digest = sync.OnceValue(doc.computeDigest)
 	return doc
 }
 
 // Version returns the version of the last edit.
 func (doc *Document) Version() uint64 { return doc.version }
 
-// Edits returns the last edits, the latest first.
+// Edits returns the records of the last edits, the latest first.
 func (doc *Document) Edits() []EditRecord { return slices.Clone(doc.edits) }
 
-// Edit returns the accepted edit with the given id.
+// Edit returns the record of the accepted edit with the given id.
 func (doc *Document) Edit(id string) (rec EditRecord, ok bool) {
 	for _, rec = range doc.edits {
 		if rec.ID == id {
@@ -64,7 +64,7 @@
 	return EditRecord{}, false
 }
 
-// Entry returns the entry of a name, tombstones included.
+// Entry returns the entry with the given name, which may be a tombstone.
 func (doc *Document) Entry(nam EntryName) (ent Entry, ok bool) {
 	ent, ok = doc.ents[nam]
 	return ent, ok
@@ -110,11 +110,11 @@
 	return newDocument(rec.Version, mergeEdits(doc.edits, []EditRecord{rec}), doc.ents)
 }
 
-// Digest returns a hash of version and entries. Equal digests mean equal states. Edit ids are left out, because they
-// steer nothing: VMs that differ in them only need no exchange.
+// Digest returns a hash of version and entries. Equal digests mean equal states. Edit ids are left out, because they have no
+// effect on steering: VMs that differ only in them need no exchange.
 func (doc *Document) Digest() uint64 { return doc.digest() }
 
-func (doc *Document) sum() uint64 {
+func (doc *Document) computeDigest() uint64 {
 	dig := xxhash.New()
 	_, _ = dig.Write(binary.BigEndian.AppendUint64(nil, doc.version))
 	for _, ent := range doc.Entries() {
--- a/internal/conf/catlg/document_test.go
+++ b/internal/conf/catlg/document_test.go
@@ -20,7 +20,7 @@
 	"cardamompass/internal/conf/jsonc"
 )
 
-// seed returns the seed of a run: CARDAMOMPASS_SEED, or a new one. It is printed when the test fails.
+// seed returns the seed of a run, from CARDAMOMPASS_SEED or random. It is printed when the test fails.
 func seed(t *testing.T) (num int64) {
 	num = rand.Int64()
 	if txt := os.Getenv("CARDAMOMPASS_SEED"); txt != "" {
@@ -52,7 +52,7 @@
 	return string(data)
 }
 
-// Guards against examples that are invalid or do not have the sizes of section 2 of the design.
+// Guards against examples that are invalid or do not have the sizes given in section 2 of the design.
 func TestExamples(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -110,14 +110,14 @@
 		{name: "second entry of a name wins silently", data: entries(`"region/a":{"owner":"o","deleted":true},"region/a":{"owner":"p","deleted":true}`), want: "entries.region/a: is given twice"},
 		{name: "unknown kind", data: entries(`"zone/a":{"owner":"o","deleted":true}`), want: "the name is not valid; use region/NAME"},
 		{name: "part is missing", data: entries(`"link/a":{"owner":"o","deleted":true}`), want: "the name is not valid"},
-		{name: "path trick in a name", data: entries(`"region/../a":{"owner":"o","deleted":true}`), want: "the name is not valid"},
+		{name: "path traversal in a name", data: entries(`"region/../a":{"owner":"o","deleted":true}`), want: "the name is not valid"},
 		{name: "deleted entry that still has a spec", data: entries(`"region/a":{"owner":"o","deleted":true,"spec":{}}`), want: "a deleted entry has no spec"},
 		{name: "entry without a spec", data: entries(`"region/a":{"owner":"o"}`), want: `"spec" is missing`},
 		{name: "field of a spec is missing", data: entries(`"shift/s/a/b":{"owner":"o","spec":{}}`), want: `"requests-per-second" is missing`},
 		{name: "timeout overflows", data: entries(`"service/a":{"owner":"o","spec":{"class":"short","max-timeout-ms":9223372036854775807,"max-body-bytes":1,"queue-length":1}}`), want: "out of range"},
 		{name: "negative version", data: `{"version":-1,"entries":{}}`, want: "-1 is out of range"},
-		{name: "time that RFC 3339 cannot name in UTC", data: entries(`"region/a":{"owner":"o","deleted":true,"edited-at":"9999-12-31T23:59:59-12:00"}`), want: "is not a time"},
-		{name: "block that is no block", data: entries(`"clients/a":{"owner":"o","spec":{"region":"a","prefixes":["10.0.0.0"]}}`), want: "is not a block of addresses"},
+		{name: "time that RFC 3339 cannot represent in UTC", data: entries(`"region/a":{"owner":"o","deleted":true,"edited-at":"9999-12-31T23:59:59-12:00"}`), want: "is not a time"},
+		{name: "prefix without a length", data: entries(`"clients/a":{"owner":"o","spec":{"region":"a","prefixes":["10.0.0.0"]}}`), want: "is not a CIDR prefix"},
 		{name: "edit id twice", data: `{"version":1,"entries":{},"edits":[{"id":"a","version":1,"by":"x","content":"0000000000000000"},{"id":"a","version":1,"by":"x","content":"0000000000000000"}]}`, want: "edits must have different ids"},
 	}
 	for _, tst := range tests {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Guards against faults that reach steering, and against a report that stops at the first one.
+// Guards against invalid values that reach steering, and against a report that stops at the first problem.
 func TestValidateReportsAllFaults(t *testing.T) {
 	doc, err := catlg.Parse([]byte(entries(`
 "region/a":{"owner":"","spec":{"failure-domains":["x","x"],"near":["a","q"]}},
@@ -150,7 +150,7 @@
 		"clients/n prefixes: 10.1.0.0/16 is also in clients/m",
 		"clients/n prefixes: 10.1.2.3/8 has bits after", "clients/n prefixes: 10.0.0.0/8 is also in clients/m",
 		"link/a/a to: both regions", "link/a/a kbit-per-second: 0 is out", "link/a/a long-percent: 100 is out",
-		"region/a owner: name the person", "region/a failure-domains: \"x\"", "region/a near: a region is not near itself", "region/a near: region \"q\" is not",
+		"region/a owner: name the person", "region/a failure-domains: \"x\"", "region/a near: a region must not list itself", "region/a near: region \"q\" is not",
 		"region/b version: 10 exceeds", "region/b failure-domains: is empty",
 		"region/d owner: name the person",
 		"service/s class: \"medium\"", "service/s max-timeout-ms: 240001 is out", "service/s max-body-bytes: 99999999999 is out",
@@ -161,16 +161,16 @@
 	}
 	var prs *jsonc.ProblemsError
 	if !errors.As(catlg.Validate(doc), &prs) || len(prs.Problems) != len(want) {
-		t.Fatalf("want %d faults, got:\n%v", len(want), catlg.Validate(doc))
+		t.Fatalf("want %d problems, got:\n%v", len(want), catlg.Validate(doc))
 	}
 	for idx, prb := range prs.Problems {
 		if !strings.HasPrefix(prb.String(), want[idx]) {
-			t.Errorf("fault %d is %s\nwant %s", idx, prb, want[idx])
+			t.Errorf("problem %d is %s\nwant %s", idx, prb, want[idx])
 		}
 	}
 }
 
-// Guards against a document that the store would refuse after it was accepted here.
+// Guards against accepting a document that is too large for the store.
 func TestValidateSize(t *testing.T) {
 	doc := catlg.Empty()
 	for idx := range 6000 {
@@ -198,7 +198,7 @@
 	return ent
 }
 
-// Guards against an entry filed under another entry's name, and against one that changes with its giver's slices.
+// Guards against an entry with a spec of another name, and against an entry that changes when the caller changes its slices.
 func TestNewEntry(t *testing.T) {
 	if _, err := catlg.NewEntry("region/a", "o", cardamompass.RegionInfo{Name: "b"}); err == nil {
 		t.Fatal("region b was accepted as region/a")
@@ -211,7 +211,7 @@
 	}
 }
 
-// Guards against a change that an operator is not shown.
+// Guards against a change that is missing in the output for operators.
 func TestDiffShowsEachChange(t *testing.T) {
 	old := catlg.Empty().WithEntry(shiftEntry(t, "b", "o", 1), shiftEntry(t, "c", "o", 1), shiftEntry(t, "d", "o", 1))
 	edited := old.WithDeleted("shift/svc/a/b").WithEntry(shiftEntry(t, "c", "p", 2), shiftEntry(t, "e", "o", 3))
@@ -258,7 +258,7 @@
 	return doc
 }
 
-// Guards against VMs that hold different catalogues for good because updates reached them in different orders.
+// Guards against VMs whose catalogues differ permanently because updates arrived in different orders.
 func TestMergeProperties(t *testing.T) {
 	prs := gopter.DefaultTestParametersWithSeed(seed(t))
 	prs.MinSuccessfulTests = 200
@@ -277,12 +277,12 @@
 		both := catlg.Merge(one, two)
 		return same(catlg.Merge(one, one), one) && same(catlg.Merge(both, two), both)
 	}, doc, doc))
-	pps.Property("a part holds the entries after its version and nothing else", prop.ForAll(func(one, two *catlg.Document) bool {
+	pps.Property("a delta has exactly the entries after its version", prop.ForAll(func(one, two *catlg.Document) bool {
 		both := catlg.Merge(one, two)
 		for version := uint64(0); version <= both.Version(); version++ {
-			part := both.Since(version)
+			delta := both.Since(version)
 			for _, ent := range both.Entries() {
-				if _, held := part.Entry(ent.Name); held != (ent.Version > version) {
+				if _, has := delta.Entry(ent.Name); has != (ent.Version > version) {
 					return false
 				}
 			}
@@ -292,16 +292,16 @@
 	pps.Property("digest differs when an entry differs", prop.ForAll(func(one, two *catlg.Document) bool {
 		return (one.Digest() == two.Digest()) == (one.Version() == two.Version() && reflect.DeepEqual(one.Entries(), two.Entries()))
 	}, doc, doc))
-	pps.Property("marshal and parse keep everything", prop.ForAll(func(one *catlg.Document) bool {
+	pps.Property("marshal and parse round trip", prop.ForAll(func(one *catlg.Document) bool {
 		two, err := catlg.Parse([]byte(marshal(t, one)))
 		return err == nil && same(one, two)
 	}, doc))
 	pps.TestingRun(t)
 }
 
-// Guards against a crash on any bytes, and against a document that is not the same after a round trip.
+// Guards against a panic on arbitrary input, and against a document that changes in a round trip.
 func FuzzParse(f *testing.F) {
-	// Seeds are small: the fuzzer spends its time on shortening large ones.
+	// Seeds are small, because the fuzzer would spend its time minimizing large ones.
 	f.Add([]byte(entries(`"region/a":{"owner":"o","version":2,"edited-by":"x","spec":{"failure-domains":["x"],"near":["b"]}}`)))
 	f.Add([]byte(entries(`"service/s":{"owner":"o","spec":{"class":"long","always-idempotent":true,"max-timeout-ms":9,"max-body-bytes":1,"queue-length":1}}`)))
 	f.Add([]byte(entries(`"target/t":{"owner":"o","spec":{"service":"s","region":"a","failure-domain":"x","address":"127.0.0.1:1","slots":1,"connections":2}}`)))
@@ -328,7 +328,8 @@
 	})
 }
 
-// The document has 5,000 targets, near the limit of the store. The costs bound what an entry VM spends on each edit.
+// BenchmarkLargeDocument uses a document of 5,000 targets, near the size limit of the store, to bound the cost of an edit at an
+// entry VM.
 func BenchmarkLargeDocument(b *testing.B) {
 	doc := example(b, "magnolia")
 	for idx := range 5000 {
--- a/internal/conf/catlg/editor.go
+++ b/internal/conf/catlg/editor.go
@@ -20,7 +20,7 @@
 	Store cardamompass.Store
 	// Key is the document's key in the store.
 	Key string
-	// Clock stamps edits and times the pauses between attempts.
+	// Clock supplies the time of edits and the timers between attempts.
 	Clock cardamompass.Clock
 	// EditedBy names the person who makes the edits.
 	EditedBy string
@@ -38,39 +38,38 @@
 	}
 }
 
-// Edit is a set of changes: what differs between Base and Edited. Versions and editors in Edited do not matter.
+// Edit is a set of changes: the differences between Base and Edited. Versions, authors and edit times in Edited are ignored.
 type Edit struct {
-	// ID identifies the edit; empty for a new one. Only an edit whose outcome is unknown is put again with its id.
+	// ID identifies the edit; empty for a new one. It is set only to repeat an edit whose outcome is unknown.
 	ID string
 	// Base is the document that was read.
 	Base *Document
-	// Edited is the document as it should be. An entry of Base that it lacks is deleted.
+	// Edited is the wanted document. Entries of Base that are missing in it are deleted.
 	Edited *Document
 }
 
 // Rollback is an edit that restores one entry.
 type Rollback struct {
 	// ID identifies the edit as in Edit.
-	ID string
-	// Entry names the entry.
+	ID    string
 	Entry EntryName
 	// From is an earlier document that holds the state to restore.
 	From *Document
 }
 
-// Accepted is an edit that is in the store.
+// Accepted describes an edit that is in the store.
 type Accepted struct {
 	// EditID identifies the edit.
 	EditID string
-	// Version is the document version that the edit made.
+	// Version is the document version that the edit produced.
 	Version uint64
-	// Document is the document of the store with the edit, and perhaps with later ones.
+	// Document is the document in the store. It contains the edit and possibly later ones.
 	Document *Document
 	// Revision is the store's revision of Document.
 	Revision int64
 }
 
-// Get reads the document. A store without the key has the empty document at revision 0.
+// Get reads the document. If the key is not in the store, it returns the empty document and revision 0.
 func (edt *Editor) Get(ctx context.Context) (doc *Document, revision int64, err error) {
 	defer func() {
 		err = errors.WithMessage(err, "read catalogue")
@@ -87,11 +86,11 @@
 	return doc, val.Revision, err
 }
 
-// Put makes an edit. Entries that others changed since are kept if the edit does not change them.
+// Put makes an edit. Entries that others have changed since Base was read are kept if the edit does not change them.
 //
-// Errors: *RaceError if it does; *jsonc.ProblemsError if the edit would bring a fault into the document;
-// *cardamompass.InvalidError for an edit without changes, editor or well-formed id; *EditUnknownError if the outcome
-// could not be found out before ctx ended. After any other error nothing was changed. ctx should have a deadline.
+// It returns an *EditConflictError if the edit changes such an entry; a *jsonc.ProblemsError if it would introduce a problem into
+// the document; a *cardamompass.InvalidError if it has no changes, no author or a malformed id; an *EditUnknownError if the
+// outcome could not be determined before ctx ended. After any other error nothing was changed. ctx should have a deadline.
 func (edt *Editor) Put(ctx context.Context, edit Edit) (acc Accepted, err error) {
 	defer func() {
 		err = errors.WithMessage(err, "put catalogue")
@@ -99,7 +98,7 @@
 	return edt.put(ctx, edit.ID, edit.Base.Version(), Diff(edit.Base, edit.Edited))
 }
 
-// Rollback makes an edit that gives one entry the content that it had in an earlier document. Errors are as for Put.
+// Rollback makes an edit that restores one entry to its content in an earlier document. It returns the same errors as Put.
 func (edt *Editor) Rollback(ctx context.Context, rbk Rollback) (acc Accepted, err error) {
 	defer func() {
 		err = errors.WithMessage(err, "roll back catalogue")
@@ -113,7 +112,7 @@
 	}
 	cur, _, err := edt.Get(ctx)
 	if err != nil {
-		return Accepted{}, edt.unsettled(rbk.ID, err)
+		return Accepted{}, edt.unknownOutcome(rbk.ID, err)
 	}
 	now, _ := cur.Entry(rbk.Entry)
 	return edt.put(ctx, rbk.ID, rbk.From.Version(), []Change{{
@@ -123,8 +122,8 @@
 	}})
 }
 
-// unsettled marks a failure of an edit that an earlier call may have sent.
-func (edt *Editor) unsettled(id string, err error) error {
+// unknownOutcome returns err as an *EditUnknownError if id is set, because an earlier call may have sent the edit.
+func (edt *Editor) unknownOutcome(id string, err error) error {
 	if id == "" {
 		return err
 	}
@@ -147,12 +146,12 @@
 	bof.InitialInterval = 20 * time.Millisecond // a few round trips to the store
 	bof.MaxInterval = 2 * time.Second           // bounds the calls of an editor during a store outage
 	ppt := &pendingPut{
-		edt:  edt,
-		id:   id,
-		chgs: chgs,
-		sum:  contentOf(chgs),
-		at:   edt.cfg.Clock.Now(),
-		bof:  bof,
+		edt:         edt,
+		id:          id,
+		chgs:        chgs,
+		contentHash: hashChanges(chgs),
+		at:          edt.cfg.Clock.Now(),
+		bof:         bof,
 	}
 	if id != "" {
 		if !editIDPattern.MatchString(id) {
@@ -162,18 +161,18 @@
 			}
 		}
 		ppt.resumed = true
-		ppt.sent = firstVersion(id, base)
+		ppt.pendingVersion = firstVersion(id, base)
 	}
 	return ppt.run(ctx)
 }
 
-// newEditID returns an id that starts with the lowest version that the edit can make. A later call with this id thereby
-// knows whether the record of the edit may already have left the document.
+// newEditID returns an id that starts with the lowest version that the edit can produce. A later call with this id uses it
+// to determine whether the record of the edit may have been evicted from the document.
 func newEditID(version uint64) string {
 	return strconv.FormatUint(version, 10) + "-" + rand.Text()
 }
 
-// firstVersion returns the lowest version that the edit id can have made when it was based on base.
+// firstVersion returns the lowest version that the edit with the given id, based on version base, can have produced.
 func firstVersion(id string, base uint64) uint64 {
 	txt, _, _ := strings.Cut(id, "-")
 	if ver, err := strconv.ParseUint(txt, 10, 64); err == nil && ver > base {
--- a/internal/conf/catlg/editor_test.go
+++ b/internal/conf/catlg/editor_test.go
@@ -14,7 +14,7 @@
 
 var errDown = errors.New("store is down")
 
-// instantClock has timers that fire at once, so that no test waits.
+// instantClock has timers that fire immediately, so that tests do not wait.
 type instantClock struct{}
 
 func (instantClock) Now() time.Time { return testTime }
@@ -31,16 +31,16 @@
 
 func (instantTimer) Stop() bool { return true }
 
-// fault says what happens to one call of the store.
+// fault is a failure injected into one call of the store.
 type fault int
 
 const (
-	none       fault = iota
-	refused          // the call fails without effect
-	answerLost       // a write takes effect, its answer is lost
-	writeLost        // a write has no effect, and the editor cannot know
-	writeLate        // a write takes effect only at a later call, and the editor cannot know
-	held             // the call works, and late writes stay late
+	none         fault = iota
+	refused            // the call fails without effect
+	responseLost       // a write takes effect, its response is lost
+	writeLost          // a write has no effect, and its response is lost
+	writeLate          // a write takes effect only at a later call, and its response is lost
+	held               // the call succeeds, and delayed writes stay delayed
 )
 
 type write struct {
@@ -48,12 +48,12 @@
 	rev  int64
 }
 
-// fakeStore holds one key. before is called ahead of each call and returns its fault.
+// fakeStore is a store of one key. before is called before each call and returns the fault to inject.
 type fakeStore struct {
 	cardamompass.Store
 	before  func(ctx context.Context, put bool) fault
 	cur     write
-	late    []write
+	delayed []write
 	history []string
 }
 
@@ -73,9 +73,9 @@
 	if str.before != nil {
 		flt = str.before(ctx, put)
 	}
-	for len(str.late) > 0 && flt == none {
-		str.swap(str.late[0])
-		str.late = str.late[1:]
+	for len(str.delayed) > 0 && flt == none {
+		str.swap(str.delayed[0])
+		str.delayed = str.delayed[1:]
 	}
 	switch {
 	case flt == refused || flt == none && ctx.Err() != nil:
@@ -103,10 +103,10 @@
 	switch {
 	case err != nil:
 		return val, err
-	case flt == answerLost:
+	case flt == responseLost:
 		str.swap(wrt)
 	case flt == writeLate:
-		str.late = append(str.late, wrt)
+		str.delayed = append(str.delayed, wrt)
 	case flt == none && str.swap(wrt):
 		return cardamompass.Value{Key: key, Data: data, Revision: rev + 1}, nil
 	case flt == none:
@@ -119,8 +119,8 @@
 	return catlg.NewEditor(catlg.EditorConfig{Store: str, Key: "catalogue", Clock: instantClock{}, EditedBy: who})
 }
 
-// filled returns a store with service svc, regions a to e and a shift from a to b.
-func filled(t testing.TB) (str *fakeStore, doc *catlg.Document) {
+// filledStore returns a store with service svc, regions a to e and a shift limit from a to b.
+func filledStore(t testing.TB) (str *fakeStore, doc *catlg.Document) {
 	txt := `"service/svc":{"owner":"o","spec":{"class":"short","max-timeout-ms":1,"max-body-bytes":1,"queue-length":1}}`
 	for _, reg := range []string{"a", "b", "c", "d", "e"} {
 		txt += `,"region/` + reg + `":{"owner":"o","spec":{"failure-domains":["x"]}}`
@@ -137,27 +137,27 @@
 	return str, acc.Document
 }
 
-// Guards against a lost answer that is taken for a refusal or for an acceptance, and against a blind second write.
-func TestPutSettlesLostAnswers(t *testing.T) {
+// Guards against taking a lost response for a refusal or for an acceptance, and against a second write of the same edit.
+func TestPutResolvesLostResponses(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  []fault // of the calls after the first read, in order
-		unknown bool    // the deadline ends with the last fault
-		writes  int     // documents that were written in the end
+		unknown bool    // the context is cancelled at the last fault
+		writes  int     // documents written in total
 	}{
-		{name: "accepted edit is reported as lost", faults: []fault{answerLost}, writes: 1},
+		{name: "accepted edit with lost response is reported as failed", faults: []fault{responseLost}, writes: 1},
 		{name: "edit is lost with its write", faults: []fault{writeLost}, writes: 1},
-		{name: "late write is followed by a second one", faults: []fault{writeLate}, writes: 1},
-		{name: "late write between read-back and repetition is taken for a race", faults: []fault{writeLate, held}, writes: 1},
-		{name: "failed read-back is taken for a refusal", faults: []fault{answerLost, refused, refused}, writes: 1},
-		{name: "repetitions write twice", faults: []fault{writeLost, none, answerLost}, writes: 1},
-		{name: "deadline during the settling is taken for a refusal", faults: []fault{answerLost, refused}, unknown: true, writes: 1},
-		{name: "deadline before the late write", faults: []fault{writeLate, refused}, unknown: true, writes: 1},
-		{name: "store that is down before the write leaves doubts", faults: []fault{refused}},
+		{name: "delayed write is followed by a second one", faults: []fault{writeLate}, writes: 1},
+		{name: "delayed write between read and retry is taken for a conflict", faults: []fault{writeLate, held}, writes: 1},
+		{name: "failed read after a lost response is taken for a refusal", faults: []fault{responseLost, refused, refused}, writes: 1},
+		{name: "retries write twice", faults: []fault{writeLost, none, responseLost}, writes: 1},
+		{name: "deadline before the outcome is known is taken for a refusal", faults: []fault{responseLost, refused}, unknown: true, writes: 1},
+		{name: "deadline before the delayed write", faults: []fault{writeLate, refused}, unknown: true, writes: 1},
+		{name: "store failure before the write is reported as unknown", faults: []fault{refused}},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			str, base := filled(t)
+			str, base := filledStore(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			calls, before := 0, len(str.history)
 			str.before = func(context.Context, bool) fault {
@@ -192,9 +192,9 @@
 	}
 }
 
-// Guards against a lost update, and against a refusal that does not tell what to do next.
-func TestPutRefusesRaces(t *testing.T) {
-	str, base := filled(t)
+// Guards against a lost update, and against a conflict error that does not name the entry, its versions and the other author.
+func TestPutRefusesConflicts(t *testing.T) {
+	str, base := filledStore(t)
 	ana, ben := editor(str, "ana"), editor(str, "ben")
 	put := func(edt *catlg.Editor, edited *catlg.Document) error {
 		_, err := edt.Put(t.Context(), catlg.Edit{Base: base, Edited: edited})
@@ -207,16 +207,16 @@
 		t.Fatalf("disjoint edit is refused: %v", err)
 	}
 	for _, edited := range []*catlg.Document{base.WithEntry(shiftEntry(t, "b", "ben", 3)), base.WithDeleted("shift/svc/a/b")} {
-		var rac *catlg.EditConflictError
-		if err := put(ben, edited); !errors.As(err, &rac) {
-			t.Fatalf("error is %v, want a race", err)
+		var cft *catlg.EditConflictError
+		if err := put(ben, edited); !errors.As(err, &cft) {
+			t.Fatalf("error is %v, want a conflict", err)
 		}
 		want := catlg.EditConflict{Entry: "shift/svc/a/b", Read: 1, Have: 2, By: "ana", At: testTime}
-		if len(rac.Conflicts) != 1 || rac.Conflicts[0] != want {
-			t.Fatalf("races %+v", rac.Conflicts)
+		if len(cft.Conflicts) != 1 || cft.Conflicts[0] != want {
+			t.Fatalf("conflicts %+v", cft.Conflicts)
 		}
 	}
-	// Each of the two edits is valid alone; together the shift would refer to a deleted region.
+	// Each of the two edits is valid alone. Together, the shift limit would refer to a deleted region.
 	if err := put(ana, base.WithEntry(shiftEntry(t, "d", "ana", 2))); err != nil {
 		t.Fatal(err)
 	}
@@ -230,9 +230,10 @@
 	}
 }
 
-// Guards against doubt about a write that lost for certain: another edit changed the revision on which it depended.
+// Guards against reporting an unknown outcome for a write that cannot take effect any more, because another edit changed the
+// revision on which it was conditional.
 func TestPutRefusedAfterLostWrite(t *testing.T) {
-	str, base := filled(t)
+	str, base := filledStore(t)
 	other := marshal(t, base.WithEntry(shiftEntry(t, "c", "ben", 1)))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -242,7 +243,7 @@
 			return none
 		}
 		if puts++; puts > 100 {
-			cancel() // an editor in doubt would go on until its deadline
+			cancel() // an editor with an unknown outcome would retry until its deadline
 		}
 		if puts > 1 {
 			return refused
@@ -257,9 +258,10 @@
 	}
 }
 
-// Guards against a rollback that rewinds the version, so that a merge would undo it, or that overrides a race.
+// Guards against a rollback that decreases the version, which a merge would undo, and against a rollback that overrides a
+// conflicting edit.
 func TestRollback(t *testing.T) {
-	str, base := filled(t)
+	str, base := filledStore(t)
 	edt := editor(str, "ana")
 	acc, err := edt.Put(t.Context(), catlg.Edit{Base: base, Edited: base.WithDeleted("shift/svc/a/b")})
 	if err != nil {
@@ -277,12 +279,12 @@
 	}
 	rbk.ID = back.EditID
 	if again, err := edt.Rollback(t.Context(), rbk); err != nil || again.Version != 3 || len(str.history) != 3 {
-		t.Fatalf("settling a rollback: %+v %v", again, err)
+		t.Fatalf("repeated rollback: %+v %v", again, err)
 	}
 	gone := catlg.Rollback{Entry: "shift/svc/a/b", From: acc.Document}
 	var inv *cardamompass.InvalidError
 	if _, err = editor(&fakeStore{}, "ana").Rollback(t.Context(), gone); !errors.As(err, &inv) {
-		t.Fatalf("error is %v, want no tombstone of an entry that never was", err)
+		t.Fatalf("error is %v, want no tombstone of an entry that never existed", err)
 	}
 	rbk.From = acc.Document
 	if _, err = edt.Rollback(t.Context(), rbk); !errors.As(err, &inv) {
@@ -290,9 +292,9 @@
 	}
 }
 
-// Guards against an edit that is called refused or new after its record left the document.
+// Guards against treating an edit as refused or new after its record was evicted from the document.
 func TestPutWithEvictedRecord(t *testing.T) {
-	str, base := filled(t)
+	str, base := filledStore(t)
 	edt := editor(str, "ana")
 	edit := catlg.Edit{Base: base, Edited: base.WithEntry(shiftEntry(t, "b", "o", 2))}
 	acc, err := edt.Put(t.Context(), edit)
--- a/internal/conf/catlg/entry.go
+++ b/internal/conf/catlg/entry.go
@@ -17,29 +17,28 @@
 
 // Entry is one entry of a document. It is immutable.
 type Entry struct {
-	// Name names it.
 	Name EntryName
-	// Owner is the person or group that answers for it.
+	// Owner is the person or group responsible for the entry.
 	Owner string
 	// Version is the document version of its last edit; 0 for an entry that was never put.
 	Version uint64
-	// EditedBy and EditedAt tell who made the last edit and when.
+	// EditedBy and EditedAt are the author and the time of the last edit.
 	EditedBy string
 	EditedAt time.Time
-	// Deleted marks a tombstone, which has no spec.
+	// Deleted marks a tombstone. A tombstone has no spec.
 	Deleted bool
 
 	spec any    // one of the types of Spec; nil for a tombstone
-	raw  []byte // the one JSON form of spec, for comparison and encoding
+	raw  []byte // canonical JSON encoding of spec, for comparison and encoding
 }
 
-// NewEntry returns an entry with spec that was not put yet. A *cardamompass.InvalidError reports a malformed name or a
-// spec that belongs under another name.
+// NewEntry returns an entry with spec and version 0. It returns a *cardamompass.InvalidError if the name is malformed or does
+// not match the spec.
 func NewEntry[S Spec](name EntryName, owner string, spec S) (ent Entry, err error) {
 	if err = name.Check(); err != nil {
 		return Entry{}, err
 	}
-	if own := nameOf(spec); own != name && (own != "" || name.Kind() != KindClients) {
+	if own := impliedName(spec); own != name && (own != "" || name.Kind() != KindClients) {
 		return Entry{}, &cardamompass.InvalidError{
 			Field:  string(name),
 			Reason: "the spec belongs to another entry, " + string(own),
@@ -57,8 +56,8 @@
 	return spec, ok
 }
 
-// nameOf returns the entry name that a spec implies. Client blocks do not imply one.
-func nameOf(spec any) EntryName {
+// impliedName returns the entry name that a spec implies. Client blocks do not imply one.
+func impliedName(spec any) EntryName {
 	switch spc := spec.(type) {
 	case cardamompass.RegionInfo:
 		return RegionEntry(spc.Name)
@@ -81,7 +80,7 @@
 	return ent
 }
 
-// cloneSpec copies the slices, so that an entry does not change when the giver of its spec changes them.
+// cloneSpec copies the slices of spec, so that later changes by the caller do not change the entry.
 func cloneSpec(spec any) any {
 	switch spc := spec.(type) {
 	case cardamompass.RegionInfo:
@@ -96,20 +95,20 @@
 	}
 }
 
-// WithOwner returns a copy with another owner.
+// WithOwner returns a copy with the given owner.
 func (ent Entry) WithOwner(owner string) Entry {
 	ent.Owner = owner
 	return ent
 }
 
-// Tombstone returns a copy that is deleted.
+// Tombstone returns a copy marked as deleted, without a spec.
 func (ent Entry) Tombstone() Entry {
 	ent.Deleted = true
 	ent.spec, ent.raw = nil, nil
 	return ent
 }
 
-// stamped returns a copy that was last edited as given.
+// stamped returns a copy with the given version, author and time of the last edit.
 func (ent Entry) stamped(version uint64, by string, at time.Time) Entry {
 	ent.Version = version
 	ent.EditedBy = by
@@ -117,14 +116,14 @@
 	return ent
 }
 
-// SameContent reports whether two entries differ at most in version and editor.
+// SameContent reports whether two entries are equal apart from the version, author and time of their last edits.
 func (ent Entry) SameContent(oth Entry) bool {
 	return ent.Name == oth.Name && ent.Owner == oth.Owner && ent.Deleted == oth.Deleted &&
 		bytes.Equal(ent.raw, oth.raw)
 }
 
-// compare orders states of one entry. The version decides; the rest only makes the order total, so that a merge does
-// not depend on its direction when two histories gave one version to different contents.
+// compare orders two states of one entry by version. The other fields only make the order total, so that a merge is
+// commutative even if two histories assigned the same version to different contents.
 func (ent Entry) compare(oth Entry) int {
 	deleted := func(one Entry) int {
 		if one.Deleted {
--- a/internal/conf/catlg/errors.go
+++ b/internal/conf/catlg/errors.go
@@ -8,26 +8,25 @@
 
 // EditConflict is one entry that changed since it was read.
 type EditConflict struct {
-	// Entry names the entry.
 	Entry EntryName
-	// Read is the version on which the refused edit was based, Have the version in the store. 0 means none.
+	// Read is the version of the entry on which the refused edit was based, Have the version in the store. 0 means none.
 	Read uint64
 	Have uint64
-	// By made the edit that won, At tells when.
+	// By and At are the author and the time of the edit in the store.
 	By string
 	At time.Time
 }
 
-// String describes the race for people.
-func (rac EditConflict) String() string {
-	if rac.Have == 0 {
-		return fmt.Sprintf("%s was read at version %d and is not in the store", rac.Entry, rac.Read)
+// String returns a readable description of the conflict.
+func (cft EditConflict) String() string {
+	if cft.Have == 0 {
+		return fmt.Sprintf("%s was read at version %d and is not in the store", cft.Entry, cft.Read)
 	}
 	return fmt.Sprintf("%s was read at version %d, the store has version %d by %s of %s",
-		rac.Entry, rac.Read, rac.Have, rac.By, rac.At.Format(time.RFC3339))
+		cft.Entry, cft.Read, cft.Have, cft.By, cft.At.Format(time.RFC3339))
 }
 
-// EditConflictError refuses an edit because others edited the same entries first. Nothing was changed.
+// EditConflictError is returned for an edit of entries that others have edited since they were read. Nothing was changed.
 type EditConflictError struct {
 	// EditID identifies the refused edit.
 	EditID string
@@ -37,14 +36,14 @@
 
 func (err *EditConflictError) Error() string {
 	txts := make([]string, 0, len(err.Conflicts))
-	for _, rac := range err.Conflicts {
-		txts = append(txts, rac.String())
+	for _, cft := range err.Conflicts {
+		txts = append(txts, cft.String())
 	}
 	return "edit refused, entries changed since they were read: " + strings.Join(txts, "; ")
 }
 
-// EditUnknownError reports an edit that may have been accepted, now or later. Another Put of the same edit with the
-// same id settles it.
+// EditUnknownError is returned for an edit that may have been accepted or may still be accepted later. To find out, Put the
+// same edit again with the same id.
 type EditUnknownError struct {
 	// EditID identifies the edit.
 	EditID string
--- a/internal/conf/catlg/merge.go
+++ b/internal/conf/catlg/merge.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Merge returns the document that holds the newer state of each entry of one and two. It is commutative, associative
+// Merge returns a document with the newer state of each entry of one and two. It is commutative, associative
 // and idempotent.
 func Merge(one, two *Document) *Document {
 	ents := maps.Clone(one.ents)
@@ -21,7 +21,7 @@
 	return newDocument(max(one.version, two.version), mergeEdits(one.edits, two.edits), ents)
 }
 
-// mergeEdits returns the latest MaxEdits records of both lists, the latest first, one for each id.
+// mergeEdits returns the latest MaxEdits records of both lists, the latest first, with one record for each id.
 func mergeEdits(one, two []EditRecord) (recs []EditRecord) {
 	all := slices.Concat(one, two)
 	slices.SortFunc(all, func(fst, snd EditRecord) int {
--- a/internal/conf/catlg/name.go
+++ b/internal/conf/catlg/name.go
@@ -30,11 +30,11 @@
 	KindClients: 1,
 }
 
-const nameForms = "region/NAME, service/NAME, target/ID, link/FROM/TO, shift/SERVICE/FROM/TO or clients/NAME"
+const nameFormats = "region/NAME, service/NAME, target/ID, link/FROM/TO, shift/SERVICE/FROM/TO or clients/NAME"
 
 var partPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,63}$`)
 
-// EntryName names an entry: its kind and the names that identify it, separated by slashes.
+// EntryName identifies an entry. It consists of the kind and one or more names, separated by slashes.
 type EntryName string
 
 // RegionEntry returns the name of a region's entry.
@@ -51,7 +51,7 @@
 	return join(KindLink, string(from), string(to))
 }
 
-// ShiftEntry returns the name of a shift's entry.
+// ShiftEntry returns the name of a shift limit's entry.
 func ShiftEntry(svc cardamompass.ServiceName, from, to cardamompass.Region) EntryName {
 	return join(KindShift, string(svc), string(from), string(to))
 }
@@ -63,7 +63,7 @@
 	return EntryName(string(knd) + "/" + strings.Join(parts, "/"))
 }
 
-// Kind returns the kind, which is meaningful for a valid name only.
+// Kind returns the kind. The result is meaningful only for a valid name.
 func (nam EntryName) Kind() Kind {
 	knd, _, _ := strings.Cut(string(nam), "/")
 	return Kind(knd)
@@ -81,7 +81,7 @@
 	if !ok || len(pts) != num+1 {
 		return &cardamompass.InvalidError{
 			Field:  string(nam),
-			Reason: "is not an entry name; use " + nameForms,
+			Reason: "is not an entry name; use " + nameFormats,
 		}
 	}
 	for _, prt := range pts[1:] {
--- a/internal/conf/catlg/parse.go
+++ b/internal/conf/catlg/parse.go
@@ -13,24 +13,24 @@
 	"cardamompass/internal/conf/jsonc"
 )
 
-// maxParseBytes bounds what Parse reads. It exceeds the limit of Validate, so that indented files of full documents
-// can be read.
+// maxParseBytes bounds the input of Parse. It exceeds the size limit of Validate, so that indented files of documents of the
+// largest size can be read.
 const maxParseBytes = 4 << 20
 
-type documentForm struct {
+type documentJSON struct {
 	Version uint64                        `json:"version"`
-	Edits   []editForm                    `json:"edits,omitempty"`
+	Edits   []editJSON                    `json:"edits,omitempty"`
 	Entries map[EntryName]json.RawMessage `json:"entries"`
 }
 
-type editForm struct {
+type editJSON struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 	By      string `json:"by"`
 	Content string `json:"content"` // 16 hexadecimal digits
 }
 
-type entryForm struct {
+type entryJSON struct {
 	Owner    string          `json:"owner"`
 	Version  uint64          `json:"version"`
 	EditedBy string          `json:"edited-by,omitempty"`
@@ -39,18 +39,18 @@
 	Spec     json.RawMessage `json:"spec,omitempty"`
 }
 
-// Marshal returns the JSON form of a document for the store. Equal documents have equal forms.
+// Marshal returns the JSON encoding of a document for the store. Equal documents have equal encodings.
 func Marshal(doc *Document) (data []byte, err error) {
-	frm := documentForm{
+	frm := documentJSON{
 		Version: doc.version,
 		Entries: map[EntryName]json.RawMessage{},
 	}
 	for _, rec := range doc.edits {
-		frm.Edits = append(frm.Edits, editForm{
+		frm.Edits = append(frm.Edits, editJSON{
 			ID:      rec.ID,
 			Version: rec.Version,
 			By:      rec.By,
-			Content: formatContent(rec.Content),
+			Content: formatHash(rec.Content),
 		})
 	}
 	for nam, ent := range doc.ents {
@@ -60,7 +60,7 @@
 	return data, errors.WithMessage(err, "catalogue")
 }
 
-// MarshalIndent returns the JSON form of a document for people.
+// MarshalIndent is like Marshal but indents the output.
 func MarshalIndent(doc *Document) (data []byte, err error) {
 	raw, err := Marshal(doc)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return buf.Bytes(), nil
 }
 
-// encode is json.Marshal without the escapes for HTML.
+// encode is like json.Marshal but does not escape HTML characters.
 func encode(val any) (data []byte, err error) {
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
@@ -84,7 +84,7 @@
 }
 
 func encodeEntry(ent Entry) (data []byte) {
-	frm := entryForm{
+	frm := entryJSON{
 		Owner:    ent.Owner,
 		Version:  ent.Version,
 		EditedBy: ent.EditedBy,
@@ -96,21 +96,21 @@
 	}
 	data, err := encode(frm)
 	if err != nil {
-		panic(err) // raw was encoded by this package, and the other fields always have a JSON form
+		panic(err) // cannot happen: raw was encoded by this package, and the other fields can always be encoded
 	}
 	return data
 }
 
-func formatContent(sum uint64) string {
+func formatHash(sum uint64) string {
 	txt := strconv.FormatUint(sum, 16)
 	return "0000000000000000"[len(txt):] + txt
 }
 
-// Parse reads a document. Unknown and duplicate names and wrong types are faults; all are reported together, each with
-// line and column, in a *jsonc.ProblemsError. Parse does not check references and limits: Validate does.
+// Parse reads a document. Unknown names, duplicate names and wrong types are reported together, each with line and column, in
+// a *jsonc.ProblemsError. Parse does not check references and limits; use Validate for that.
 func Parse(data []byte) (doc *Document, err error) { return ParseFile("", data) }
 
-// ParseFile is Parse with the name of the file for the faults.
+// ParseFile is like Parse but uses name as the file name in reported problems.
 func ParseFile(name string, data []byte) (doc *Document, err error) {
 	defer func() {
 		err = errors.WithMessage(err, "catalogue")
@@ -187,7 +187,7 @@
 	if nod, ok := obj.Require("content"); ok {
 		txt, good := nod.Text()
 		sum, err := strconv.ParseUint(txt, 16, 64)
-		if good && (err != nil || formatContent(sum) != txt) {
+		if good && (err != nil || formatHash(sum) != txt) {
 			nod.Fail("%q is not a hash; use 16 hexadecimal digits", txt)
 		}
 		rec.Content = sum
@@ -215,7 +215,7 @@
 	}
 	defer obj.Close()
 	if err := nam.Check(); err != nil {
-		nod.Fail("the name is not valid; use %s, each part 1 to 64 of a-z, 0-9, '.', '_' and '-'", nameForms)
+		nod.Fail("the name is not valid; use %s, each part 1 to 64 of a-z, 0-9, '.', '_' and '-'", nameFormats)
 		obj.Get("spec")
 		return ent
 	}
@@ -231,7 +231,7 @@
 	return ent
 }
 
-// readTime reads a time and keeps it in UTC. The years are those that RFC 3339 can name.
+// readTime reads a time and converts it to UTC. It accepts the years that RFC 3339 can represent.
 func readTime(nod jsonc.Node) (tim time.Time) {
 	txt, ok := nod.Text()
 	if !ok {
--- a/internal/conf/catlg/settle.go
+++ b/internal/conf/catlg/pending.go
@@ -12,26 +12,26 @@
 	"cardamompass/internal/conf/jsonc"
 )
 
-// pendingPut is one edit on its way into the store.
+// pendingPut is an edit whose outcome is not yet known.
 //
-// A compare-and-swap whose answer was lost may take effect until the key's revision changes. Reading back tells: the
-// edit's id in the document means accepted; another revision without the id means that the write lost; the same
-// revision means that the write may be repeated.
+// A compare-and-swap without a response may take effect until the key's revision changes. Reading the document again gives
+// the outcome: if it contains the edit's id, the edit was accepted; if the revision changed and the id is missing, the write
+// had no effect; if the revision is the same, the write may be repeated.
 type pendingPut struct {
-	edt  *Editor
-	id   string
-	chgs []Change
-	sum  uint64
-	at   time.Time
-	bof  *backoff.ExponentialBackOff
+	edt         *Editor
+	id          string
+	chgs        []Change
+	contentHash uint64
+	at          time.Time
+	bof         *backoff.ExponentialBackOff
 
-	// resumed is set when an earlier call may have sent the edit. That call's revision is not known, so its write
-	// can be pending at any revision.
+	// resumed is set when an earlier call may have sent the edit. The revision on which that write was conditional is not
+	// known, so it may take effect at any revision.
 	resumed bool
-	// sent is the lowest document version that a write with unknown outcome may have made; 0 when there is none.
-	sent uint64
-	// sentAt is the revision on which the write with unknown outcome was conditional.
-	sentAt int64
+	// pendingVersion is the lowest document version that a write with unknown outcome may have produced; 0 if there is none.
+	pendingVersion uint64
+	// pendingRevision is the revision on which the write with unknown outcome was conditional.
+	pendingRevision int64
 }
 
 func (ppt *pendingPut) run(ctx context.Context) (acc Accepted, err error) {
@@ -44,14 +44,14 @@
 			if err == nil {
 				err = werr
 			}
-			return Accepted{}, ppt.failed(err)
+			return Accepted{}, ppt.outcomeError(err)
 		}
 	}
 }
 
-// failed returns err, marked as unknown outcome if a write may have taken effect.
-func (ppt *pendingPut) failed(err error) error {
-	if ppt.sent == 0 {
+// outcomeError returns err, as an *EditUnknownError if a write may have taken effect.
+func (ppt *pendingPut) outcomeError(err error) error {
+	if ppt.pendingVersion == 0 {
 		return err
 	}
 	return &EditUnknownError{
@@ -60,13 +60,13 @@
 	}
 }
 
-// storeError is a failed call of the store. It hides nothing from errors.As.
+// storeError marks the error of a failed store call. The cause remains visible to errors.As.
 type storeError struct{ error }
 
 func (err storeError) Unwrap() error { return err.error }
 
-// mayRetry reports whether the settling goes on after err: after lost races for the revision, and after any failure of
-// the store while the outcome of a write is unknown.
+// mayRetry reports whether another attempt follows after err. It does after a revision conflict, and after any failure of the
+// store while the outcome of a write is unknown.
 func (ppt *pendingPut) mayRetry(err error) bool {
 	var (
 		cfl *cardamompass.ConflictError
@@ -76,19 +76,19 @@
 	if errors.As(err, &cfl) || errors.As(err, &unk) {
 		return true
 	}
-	return errors.As(err, &sto) && ppt.sent != 0
+	return errors.As(err, &sto) && ppt.pendingVersion != 0
 }
 
-// attempt reads the document, looks for the edit, and else tries one compare-and-swap.
+// attempt reads the document and looks for the edit. If it is not there, attempt tries one compare-and-swap.
 func (ppt *pendingPut) attempt(ctx context.Context) (acc Accepted, done bool, err error) {
 	cur, rev, err := ppt.edt.Get(ctx)
 	if err != nil {
-		return Accepted{}, false, ppt.readFailed(err)
+		return Accepted{}, false, ppt.readError(err)
 	}
 	if ppt.id == "" {
 		ppt.id = newEditID(cur.Version() + 1)
 	}
-	acc, done, err = ppt.find(cur, rev)
+	acc, done, err = ppt.findEdit(cur, rev)
 	if done || err != nil {
 		return acc, true, err
 	}
@@ -106,25 +106,25 @@
 		}, true, nil
 	}
 	var unk *cardamompass.WriteUnknownError
-	if errors.As(err, &unk) && ppt.sent == 0 {
-		ppt.sent, ppt.sentAt = nxt.Version(), rev
+	if errors.As(err, &unk) && ppt.pendingVersion == 0 {
+		ppt.pendingVersion, ppt.pendingRevision = nxt.Version(), rev
 	}
 	return Accepted{}, false, storeError{error: err}
 }
 
-// readFailed tells a store that failed from a document that cannot be read.
-func (ppt *pendingPut) readFailed(err error) error {
+// readError distinguishes a failed store call, which may be retried, from a document that cannot be parsed.
+func (ppt *pendingPut) readError(err error) error {
 	var bad *jsonc.ProblemsError
 	if errors.As(err, &bad) {
-		return ppt.failed(err)
+		return ppt.outcomeError(err)
 	}
 	return storeError{error: err}
 }
 
-// find looks for the edit in the document that was read back.
-func (ppt *pendingPut) find(cur *Document, rev int64) (acc Accepted, done bool, err error) {
+// findEdit looks for the edit in the document cur, read at revision rev.
+func (ppt *pendingPut) findEdit(cur *Document, rev int64) (acc Accepted, done bool, err error) {
 	if rec, ok := cur.Edit(ppt.id); ok {
-		if rec.Content != ppt.sum {
+		if rec.Content != ppt.contentHash {
 			return Accepted{}, true, &cardamompass.InvalidError{
 				Field:  "edit-id",
 				Reason: ppt.id + " is the id of another edit, by " + rec.By,
@@ -137,34 +137,34 @@
 			Revision: rev,
 		}, true, nil
 	}
-	if ppt.sent == 0 {
+	if ppt.pendingVersion == 0 {
 		return Accepted{}, false, nil
 	}
-	if evicted(cur, ppt.sent) {
-		return Accepted{}, true, ppt.failed(errors.Errorf("more than %d edits were made since", MaxEdits))
+	if evicted(cur, ppt.pendingVersion) {
+		return Accepted{}, true, ppt.outcomeError(errors.Errorf("more than %d edits were made since", MaxEdits))
 	}
-	if !ppt.resumed && rev != ppt.sentAt {
-		ppt.sent = 0 // the write was conditional on a revision that is gone
+	if !ppt.resumed && rev != ppt.pendingRevision {
+		ppt.pendingVersion = 0 // the write was conditional on an earlier revision and can no longer take effect
 	}
 	return Accepted{}, false, nil
 }
 
-// evicted reports whether the record of an edit that made a version from sent on may have left the document.
-func evicted(cur *Document, sent uint64) bool {
-	return len(cur.edits) == MaxEdits && cur.edits[MaxEdits-1].Version >= sent
+// evicted reports whether cur may have dropped the record of an edit that produced the given version or a later one.
+func evicted(cur *Document, version uint64) bool {
+	return len(cur.edits) == MaxEdits && cur.edits[MaxEdits-1].Version >= version
 }
 
 // prepare applies the changes to the current document.
 func (ppt *pendingPut) prepare(cur *Document) (nxt *Document, data []byte, err error) {
 	var (
-		rcs  []EditConflict
+		cfs  []EditConflict
 		ents []Entry
 		ver  = cur.Version() + 1
 	)
 	for _, chg := range ppt.chgs {
 		now := cur.ents[chg.Name]
 		if now.Name != chg.Old.Name || now.compare(chg.Old) != 0 {
-			rcs = append(rcs, EditConflict{
+			cfs = append(cfs, EditConflict{
 				Entry: chg.Name,
 				Read:  chg.Old.Version,
 				Have:  now.Version,
@@ -176,15 +176,15 @@
 		if !ent.live() {
 			ent = now.Tombstone()
 		}
-		// An entry that is gone needs no second tombstone, whoever owned it.
+		// An entry that is missing or deleted gets no new tombstone, even if the owner differs.
 		if (ent.live() || now.live()) && !ent.SameContent(now) {
 			ents = append(ents, ent.stamped(ver, ppt.edt.cfg.EditedBy, ppt.at))
 		}
 	}
-	if len(rcs) > 0 {
+	if len(cfs) > 0 {
 		return nil, nil, &EditConflictError{
 			EditID:    ppt.id,
-			Conflicts: rcs,
+			Conflicts: cfs,
 		}
 	}
 	if len(ents) == 0 {
@@ -197,18 +197,18 @@
 		ID:      ppt.id,
 		Version: ver,
 		By:      ppt.edt.cfg.EditedBy,
-		Content: ppt.sum,
+		Content: ppt.contentHash,
 	})
-	if err = addedFaults(cur, nxt); err != nil {
+	if err = addedProblems(cur, nxt); err != nil {
 		return nil, nil, err
 	}
 	data, err = Marshal(nxt)
 	return nxt, data, err
 }
 
-// addedFaults returns the faults of nxt that cur does not have. A merge of two histories can leave faults, and these
-// must not stop edits of other entries.
-func addedFaults(cur, nxt *Document) (err error) {
+// addedProblems returns the problems of nxt that cur does not have. A merge of two histories can leave problems in the
+// document, and these must not prevent edits of other entries.
+func addedProblems(cur, nxt *Document) (err error) {
 	var before, after *jsonc.ProblemsError
 	if err = Validate(nxt); !errors.As(err, &after) {
 		return err
@@ -244,8 +244,8 @@
 	}
 }
 
-// contentOf returns a hash of what an edit changes, not of what it is based on.
-func contentOf(chgs []Change) uint64 {
+// hashChanges returns a hash of what an edit changes, without the state on which the edit is based.
+func hashChanges(chgs []Change) uint64 {
 	dig := xxhash.New()
 	for _, chg := range chgs {
 		ent := Entry{
--- a/internal/conf/catlg/rebase.go
+++ b/internal/conf/catlg/rebase.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// Rebase returns the stored document with those edits moved to the front that the store accepted after it was restored to an
-// older state. Merged with the document in force, they win over what they were made on, as every later edit does.
+// Rebase returns the stored document in which the edits that the store accepted after it was restored to an older state have
+// new versions, above those of the active document. When the result is merged with the active document, these edits win, as
+// every later edit does.
 //
-// Such an edit has a version that the document in force knows under another edit id. An edit that is merely older, as in a
-// late answer of the store, has a version and an id that are both known. Edits further back than the MaxEdits records of the
-// document in force can't be told apart and are left as they are.
-func Rebase(inForce, stored *Document) *Document {
-	forks := forkedEdits(inForce, stored)
+// Such an edit has a version that the active document records under another edit id. An edit that is merely older, as in a
+// delayed response of the store, has a version and an id that the active document both records. Edits older than the MaxEdits
+// records of the active document cannot be distinguished and are left unchanged.
+func Rebase(active, stored *Document) *Document {
+	forks := forkedEdits(active, stored)
 	if len(forks) == 0 {
 		return stored
 	}
-	version := max(inForce.version, stored.version)
+	version := max(active.version, stored.version)
 	moved := make(map[uint64]uint64, len(forks))
 	for _, rec := range forks {
 		version++
@@ -38,16 +39,16 @@
 	return newDocument(version, mergeEdits(edits, nil), ents)
 }
 
-// forkedEdits returns the stored edits that were accepted after a restoration, the earliest first.
-func forkedEdits(inForce, stored *Document) (forks []EditRecord) {
-	known := make(map[string]bool, len(inForce.edits))
-	taken := make(map[uint64]bool, len(inForce.edits))
-	for _, rec := range inForce.edits {
-		known[rec.ID] = true
-		taken[rec.Version] = true
+// forkedEdits returns the edits in stored that were accepted after the store was restored, the earliest first.
+func forkedEdits(active, stored *Document) (forks []EditRecord) {
+	ids := make(map[string]bool, len(active.edits))
+	versions := make(map[uint64]bool, len(active.edits))
+	for _, rec := range active.edits {
+		ids[rec.ID] = true
+		versions[rec.Version] = true
 	}
 	for _, rec := range stored.edits {
-		if !known[rec.ID] && taken[rec.Version] {
+		if !ids[rec.ID] && versions[rec.Version] {
 			forks = append(forks, rec)
 		}
 	}
--- a/internal/conf/catlg/rebase_test.go
+++ b/internal/conf/catlg/rebase_test.go
@@ -6,8 +6,8 @@
 	"cardamompass/internal/conf/catlg"
 )
 
-// withOwner edits region a in the store and returns the document that the store holds then.
-func withOwner(t *testing.T, str *fakeStore, owner string) *catlg.Document {
+// editOwner changes the owner of region a in the store and returns the resulting document.
+func editOwner(t *testing.T, str *fakeStore, owner string) *catlg.Document {
 	t.Helper()
 	edt := editor(str, owner)
 	doc, _, err := edt.Get(t.Context())
@@ -25,33 +25,33 @@
 	return acc.Document
 }
 
-// Guards against an edit that a restored store accepts and that loses against an earlier edit of the same entry, and against a
-// late answer of the store that is taken for such an edit.
-func TestAdoptAfterRestore(t *testing.T) {
-	str, snapshot := filled(t)
+// Guards against an edit that is accepted by a restored store but loses to an earlier edit of the same entry when merged, and
+// against treating a delayed response of the store as such an edit.
+func TestRebaseAfterRestore(t *testing.T) {
+	str, snapshot := filledStore(t)
 	restored := &fakeStore{
 		cur: str.cur,
 	}
-	late := withOwner(t, str, "two")
-	inForce := withOwner(t, str, "three")
+	older := editOwner(t, str, "two")
+	active := editOwner(t, str, "three")
 	tests := []struct {
 		name   string
 		stored *catlg.Document
 		want   string
 	}{
-		{name: "edit after the restoration loses", stored: withOwner(t, restored, "four"), want: "four"},
-		{name: "second edit after the restoration loses", stored: withOwner(t, restored, "five"), want: "five"},
-		{name: "restored store without an edit takes one back", stored: snapshot, want: "three"},
-		{name: "late answer takes an edit back", stored: late, want: "three"},
+		{name: "edit after the restore loses", stored: editOwner(t, restored, "four"), want: "four"},
+		{name: "second edit after the restore loses", stored: editOwner(t, restored, "five"), want: "five"},
+		{name: "restored store without an edit reverts one", stored: snapshot, want: "three"},
+		{name: "delayed response reverts an edit", stored: older, want: "three"},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
-			merged := catlg.Merge(inForce, catlg.Rebase(inForce, tst.stored))
+			merged := catlg.Merge(active, catlg.Rebase(active, tst.stored))
 			if ent, _ := merged.Entry("region/a"); ent.Owner != tst.want {
-				t.Fatalf("owner %s in force, want %s", ent.Owner, tst.want)
+				t.Fatalf("active owner %s, want %s", ent.Owner, tst.want)
 			}
 			if again := catlg.Merge(merged, catlg.Rebase(merged, tst.stored)); again.Digest() != merged.Digest() {
-				t.Fatal("the same value of the store changes the document again")
+				t.Fatal("reading the same value of the store again changes the document")
 			}
 		})
 	}
--- a/internal/conf/catlg/since.go
+++ b/internal/conf/catlg/since.go
@@ -1,8 +1,8 @@
 package catlg
 
-// Since returns the part of the document whose entries were edited after the given version. Merged into a document that
-// has everything up to that version, it gives the whole document.
-func (doc *Document) Since(version uint64) (part *Document) {
+// Since returns the document with only the entries that were edited after the given version. Merging it into a document that
+// has all edits up to that version gives the complete document.
+func (doc *Document) Since(version uint64) (delta *Document) {
 	ents := make(map[EntryName]Entry)
 	for nam, ent := range doc.ents {
 		if ent.Version > version {
--- a/internal/conf/catlg/spec.go
+++ b/internal/conf/catlg/spec.go
@@ -13,12 +13,12 @@
 // maxMillis bounds durations while parsing, so that they fit a time.Duration.
 const maxMillis = math.MaxInt64 / int64(time.Millisecond)
 
-type regionForm struct {
+type regionJSON struct {
 	FailureDomains []cardamompass.FailureDomain `json:"failure-domains"`
 	Near           []cardamompass.Region        `json:"near,omitempty"`
 }
 
-type serviceForm struct {
+type serviceJSON struct {
 	Class            cardamompass.Class `json:"class"`
 	AlwaysIdempotent bool               `json:"always-idempotent,omitempty"`
 	MaxTimeoutMs     int64              `json:"max-timeout-ms"`
@@ -26,7 +26,7 @@
 	QueueLength      int                `json:"queue-length"`
 }
 
-type targetForm struct {
+type targetJSON struct {
 	Service       cardamompass.ServiceName   `json:"service"`
 	Region        cardamompass.Region        `json:"region"`
 	FailureDomain cardamompass.FailureDomain `json:"failure-domain"`
@@ -35,39 +35,39 @@
 	Connections   int                        `json:"connections"`
 }
 
-type linkForm struct {
+type linkJSON struct {
 	KbitPerSecond int64 `json:"kbit-per-second"`
 	LongPercent   int   `json:"long-percent"`
 }
 
-type shiftForm struct {
+type shiftJSON struct {
 	RequestsPerSecond int64 `json:"requests-per-second"`
 }
 
-type clientsForm struct {
+type clientsJSON struct {
 	Region   cardamompass.Region `json:"region"`
 	Prefixes []netip.Prefix      `json:"prefixes"`
 }
 
-// encodeSpec returns the JSON form of a spec. Equal specs have equal forms.
+// encodeSpec returns the JSON encoding of a spec. Equal specs have equal encodings.
 func encodeSpec(spec any) (raw []byte) {
-	raw, err := encode(formOf(spec))
+	raw, err := encode(toJSON(spec))
 	if err != nil {
-		// The forms hold only strings, numbers and prefixes, all of which have a JSON form.
+		// This cannot happen: the fields are strings, booleans, numbers and prefixes, all of which can be encoded.
 		panic(err)
 	}
 	return raw
 }
 
-func formOf(spec any) any {
+func toJSON(spec any) any {
 	switch spc := spec.(type) {
 	case cardamompass.RegionInfo:
-		return regionForm{
+		return regionJSON{
 			FailureDomains: nonNil(spc.FailureDomains),
 			Near:           spc.FallbackRegions,
 		}
 	case cardamompass.Service:
-		return serviceForm{
+		return serviceJSON{
 			Class:            spc.Class,
 			AlwaysIdempotent: spc.AlwaysIdempotent,
 			MaxTimeoutMs:     spc.MaxTimeout.Milliseconds(),
@@ -75,7 +75,7 @@
 			QueueLength:      spc.QueueLength,
 		}
 	case cardamompass.Target:
-		return targetForm{
+		return targetJSON{
 			Service:       spc.Service,
 			Region:        spc.Region,
 			FailureDomain: spc.FailureDomain,
@@ -84,16 +84,16 @@
 			Connections:   spc.Connections,
 		}
 	case cardamompass.Link:
-		return linkForm{
+		return linkJSON{
 			KbitPerSecond: spc.KbitPerSecond,
 			LongPercent:   spc.LongPercent,
 		}
 	case cardamompass.ShiftLimit:
-		return shiftForm{
+		return shiftJSON{
 			RequestsPerSecond: spc.RequestsPerSecond,
 		}
 	case cardamompass.ClientBlocks:
-		return clientsForm{
+		return clientsJSON{
 			Region:   spc.Region,
 			Prefixes: nonNil(spc.Prefixes),
 		}
@@ -109,7 +109,7 @@
 	return lst
 }
 
-// specReader reads the members of a spec. All but those read with optional methods must be there.
+// specReader reads the members of a spec. Members are required unless they are read with an optional method.
 type specReader struct {
 	*jsonc.Object
 }
@@ -148,7 +148,7 @@
 	return lst
 }
 
-// decodeSpec reads the spec of the entry nam, whose name must be valid. Faults go to the report.
+// decodeSpec reads the spec of the entry nam, which must be a valid name. Problems are added to the report.
 func decodeSpec(nam EntryName, nod jsonc.Node) (spec any) {
 	rdr := specReader{Object: nod.Object()}
 	defer rdr.Close()
@@ -220,7 +220,7 @@
 		txt, good := one.Text()
 		pfx, err := netip.ParsePrefix(txt)
 		if good && err != nil {
-			one.Fail(`%q is not a block of addresses; use an IP number and a length, such as "10.1.0.0/16"`, txt)
+			one.Fail(`%q is not a CIDR prefix; use an IP address and a prefix length, such as "10.1.0.0/16"`, txt)
 		}
 		spec.Prefixes = append(spec.Prefixes, pfx)
 	}
--- a/internal/conf/catlg/validate.go
+++ b/internal/conf/catlg/validate.go
@@ -13,26 +13,26 @@
 
 // Limits of the catalogue.
 const (
-	// MaxOperationTimeout is the longest timeout of a service with non-idempotent requests. Records of operations
-	// are kept longer than a ticket's lifetime plus this time, which bounds their number.
+	// MaxOperationTimeout is the longest timeout of a service with non-idempotent requests. Operation records are kept for
+	// longer than a ticket's lifetime plus this time, so the limit bounds the number of records.
 	MaxOperationTimeout = 4 * time.Minute
 	// MaxTimeout is the longest timeout of a service whose requests are all idempotent.
 	MaxTimeout = time.Hour
-	// MaxBodyBytes is the largest body of a request. Bodies are held in memory until the outcome is known.
+	// MaxBodyBytes is the largest request body. Bodies are held in memory until the outcome is known.
 	MaxBodyBytes = 64 << 20
 	// MaxQueueLength is the longest queue of a service at one entry VM.
 	MaxQueueLength = 100000
-	// maxKbitPerSecond is 10 Tbit/s, more than any link has; a larger number is a wrong unit.
+	// maxKbitPerSecond is 10 Tbit/s, more than any link has; a larger number indicates a wrong unit.
 	maxKbitPerSecond = 10_000_000_000
-	// maxRequestsPerSecond is more than the whole system carries.
+	// maxRequestsPerSecond is more than the load of the whole system.
 	maxRequestsPerSecond = 100_000_000
-	// maxSlots bounds slots and connections of one target.
+	// maxSlots bounds the slots and the connections of one target.
 	maxSlots = 100000
 )
 
-// Validate returns nil for a document that may be put, or a *jsonc.ProblemsError with all faults: unknown references,
-// limits that cannot hold, a region near itself, addresses that are not IP numbers, one client block given twice, a
-// missing owner, versions above the document's, more than cardamompass.MaxValueBytes bytes.
+// Validate returns nil if the document may be put, or else a *jsonc.ProblemsError with all problems: unknown references, values
+// out of range, a region that is its own fallback, addresses that are not IP addresses, duplicate client blocks, a missing
+// owner, versions above the document's, or an encoding of more than cardamompass.MaxValueBytes bytes.
 func Validate(doc *Document) (err error) {
 	chk := &checker{
 		cat:       NewCatalogue(doc),
@@ -57,7 +57,7 @@
 	}
 }
 
-// printable reports whether txt can be shown as a name. Control characters would change what a terminal shows.
+// printable reports whether txt can be shown as a name. It rejects control characters, which could change a terminal's output.
 func printable(txt string) bool {
 	return txt != "" && len(txt) <= 128 && !strings.ContainsFunc(txt, func(chr rune) bool { return !unicode.IsPrint(chr) })
 }
@@ -80,7 +80,7 @@
 	})
 }
 
-func (chk *checker) within(nam EntryName, field string, num, least, most int64) {
+func (chk *checker) checkRange(nam EntryName, field string, num, least, most int64) {
 	if num < least || num > most {
 		chk.add(nam, field, "%d is out of range; use a number from %d to %d", num, least, most)
 	}
@@ -108,7 +108,7 @@
 
 func (chk *checker) entry(ent Entry) {
 	if !printable(ent.Owner) {
-		chk.add(ent.Name, "owner", "name the person or group that answers for the entry, in 1 to 128 printable characters")
+		chk.add(ent.Name, "owner", "name the person or group responsible for the entry, in 1 to 128 printable characters")
 	}
 	if ent.Version > chk.cat.Version() {
 		chk.add(ent.Name, "version", "%d exceeds the document's version %d", ent.Version, chk.cat.Version())
@@ -122,12 +122,12 @@
 		chk.target(ent.Name, spc)
 	case cardamompass.Link:
 		chk.pair(ent.Name, spc.From, spc.To)
-		chk.within(ent.Name, "kbit-per-second", spc.KbitPerSecond, 1, maxKbitPerSecond)
-		chk.within(ent.Name, "long-percent", int64(spc.LongPercent), 1, 99)
+		chk.checkRange(ent.Name, "kbit-per-second", spc.KbitPerSecond, 1, maxKbitPerSecond)
+		chk.checkRange(ent.Name, "long-percent", int64(spc.LongPercent), 1, 99)
 	case cardamompass.ShiftLimit:
 		chk.pair(ent.Name, spc.From, spc.To)
 		chk.service(ent.Name, "service", spc.Service)
-		chk.within(ent.Name, "requests-per-second", spc.RequestsPerSecond, 0, maxRequestsPerSecond)
+		chk.checkRange(ent.Name, "requests-per-second", spc.RequestsPerSecond, 0, maxRequestsPerSecond)
 	case cardamompass.ClientBlocks:
 		chk.clients(ent.Name, spc)
 	}
@@ -148,7 +148,7 @@
 	for _, reg := range spc.FallbackRegions {
 		switch {
 		case reg == spc.Name:
-			chk.add(nam, "near", "a region is not near itself; remove %q", reg)
+			chk.add(nam, "near", "a region must not list itself; remove %q", reg)
 		case near[reg]:
 			chk.add(nam, "near", "%q is given twice", reg)
 		default:
@@ -166,9 +166,9 @@
 	if spc.AlwaysIdempotent {
 		most = MaxTimeout
 	}
-	chk.within(nam, "max-timeout-ms", spc.MaxTimeout.Milliseconds(), 1, most.Milliseconds())
-	chk.within(nam, "max-body-bytes", spc.MaxBodyBytes, 0, MaxBodyBytes)
-	chk.within(nam, "queue-length", int64(spc.QueueLength), 0, MaxQueueLength)
+	chk.checkRange(nam, "max-timeout-ms", spc.MaxTimeout.Milliseconds(), 1, most.Milliseconds())
+	chk.checkRange(nam, "max-body-bytes", spc.MaxBodyBytes, 0, MaxBodyBytes)
+	chk.checkRange(nam, "queue-length", int64(spc.QueueLength), 0, MaxQueueLength)
 }
 
 func (chk *checker) target(nam EntryName, spc cardamompass.Target) {
@@ -177,14 +177,14 @@
 	if reg, ok := chk.cat.Region(spc.Region); ok && !containsDomain(reg, spc.FailureDomain) {
 		chk.add(nam, "failure-domain", "%q is not in region %q, which has %v", spc.FailureDomain, reg.Name, reg.FailureDomains)
 	}
-	chk.within(nam, "slots", int64(spc.Slots), 1, maxSlots)
-	chk.within(nam, "connections", int64(spc.Connections), 1, maxSlots)
+	chk.checkRange(nam, "slots", int64(spc.Slots), 1, maxSlots)
+	chk.checkRange(nam, "connections", int64(spc.Connections), 1, maxSlots)
 	if spc.Connections < spc.Slots {
-		chk.add(nam, "connections", "%d connections cannot fill %d slots", spc.Connections, spc.Slots)
+		chk.add(nam, "connections", "%d connections are too few for %d slots", spc.Connections, spc.Slots)
 	}
 	adr, err := netip.ParseAddrPort(spc.Address)
 	if err != nil || adr.Port() == 0 || adr.Addr().IsUnspecified() {
-		chk.add(nam, "address", `%q is not an address; use an IP number and a port, such as "10.0.0.1:8080"`, spc.Address)
+		chk.add(nam, "address", `%q is not an address; use an IP address and a port, such as "10.0.0.1:8080"`, spc.Address)
 		return
 	}
 	if oth, ok := chk.addresses[adr.String()]; ok {
@@ -202,12 +202,12 @@
 	return false
 }
 
-// clients allows a block inside a larger one, because the longest match decides. The same block twice has no answer.
+// clients accepts a block inside a larger one, because the longest match applies. A duplicate block would be ambiguous.
 func (chk *checker) clients(nam EntryName, spc cardamompass.ClientBlocks) {
 	chk.region(nam, "region", spc.Region)
 	for _, pfx := range spc.Prefixes {
 		if pfx != pfx.Masked() {
-			chk.add(nam, "prefixes", "%s has bits after its length; use %s", pfx, pfx.Masked())
+			chk.add(nam, "prefixes", "%s has bits after its prefix length; use %s", pfx, pfx.Masked())
 		}
 		if oth, ok := chk.prefixes[pfx.Masked()]; ok {
 			chk.add(nam, "prefixes", "%s is also in %s", pfx.Masked(), oth)
