--- a/internal/fleet/share/rebalance.go
+++ b/internal/fleet/share/rebalance.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// plan returns the next ledger, and in force whether to write it even if it is unchanged. Units that it gives up are not used
-// any more from here on, before the write that makes them available to others is sent.
+// plan returns the next ledger. force reports whether to write it even if it is unchanged. Units that it gives up are no longer
+// used from here on, before the write that makes them available to others is sent.
 func (pol *Pool) plan(alc *allocation, led Ledger, revision int64, expired, unavailable map[Owner]bool) (next Ledger, force bool) {
 	now := pol.cfg.Clock.Now()
 	own := pol.owner()
