--- a/internal/conf/config/config.go
+++ b/internal/conf/config/config.go
@@ -1,8 +1,7 @@
 // Package config reads the settings of one entry VM process.
 //
-// Settings are JSON with comments and kebab-case names. They are read once, checked whole, and never change afterwards.
-// All faults are reported together, each with file, line and column. A setting that is not given has the default that
-// examples/settings.jsonc names.
+// Settings are JSON with comments and kebab-case names. They are read and checked once and do not change afterwards. All
+// problems are reported together, each with file, line and column. The defaults are listed in examples/settings.jsonc.
 package config
 
 import (
@@ -16,22 +15,22 @@
 	"cardamompass/internal/conf/jsonc"
 )
 
-// maxFileBytes bounds a settings file. A larger file is certainly another file named by mistake.
+// maxFileBytes bounds the size of a settings file. A larger file is not a settings file but was given by mistake.
 const maxFileBytes = 1 << 20
 
 // Settings are the settings of one process. They are immutable: callers must not modify Seeds. A Settings is safe for
 // concurrent use. The json tags are the names in the file.
 type Settings struct {
-	// VMID names the VM; Region and FailureDomain are its place.
+	// VMID names the VM; Region and FailureDomain are its location.
 	VMID          cardamompass.VMID          `json:"vm-id"`
 	Region        cardamompass.Region        `json:"region"`
 	FailureDomain cardamompass.FailureDomain `json:"failure-domain"`
-	// CallerAddress, PeerAddress and OperatorAddress are the host:port, by IP number, on which the process listens.
+	// CallerAddress, PeerAddress and OperatorAddress are the IP addresses and ports on which the process listens.
 	// OperatorAddress serves the state dump and the metrics.
 	CallerAddress   string `json:"caller-address"`
 	PeerAddress     string `json:"peer-address"`
 	OperatorAddress string `json:"operator-address"`
-	// AdvertiseCallerAddress and AdvertisePeerAddress are the addresses that others are told.
+	// AdvertiseCallerAddress and AdvertisePeerAddress are the addresses announced to callers and peers.
 	AdvertiseCallerAddress string `json:"advertise-caller-address"`
 	AdvertisePeerAddress   string `json:"advertise-peer-address"`
 	// StoreAddress is the host:port of the platform's key-value service.
@@ -40,11 +39,11 @@
 	VMListAddress string `json:"vm-list-address"`
 	// PeerKey authenticates entry VMs to each other.
 	PeerKey Secret `json:"peer-key"`
-	// Seeds are peer addresses of other entry VMs at which the membership starts.
+	// Seeds are peer addresses of other entry VMs, used to join the membership.
 	Seeds []string `json:"seeds"`
 	// LogLevel is the lowest level that is logged.
 	LogLevel zapcore.Level `json:"log-level"`
-	// LookupMaxAge is the time for which callers may keep a look-up answer.
+	// LookupMaxAge is the time for which callers may cache a look-up response.
 	LookupMaxAge time.Duration `json:"lookup-max-age"`
 
 	Limits     Limits     `json:"limits"`
@@ -61,32 +60,32 @@
 	// MaxHeader and MaxBody are in bytes.
 	MaxHeader int64 `json:"max-header"`
 	MaxBody   int64 `json:"max-body"`
-	// MaxConnections is the number of connections of callers.
+	// MaxConnections is the largest number of connections from callers.
 	MaxConnections int `json:"max-connections"`
-	// IdleTimeout closes a connection without a request; ReadHeaderTimeout bounds the reading of a header.
+	// IdleTimeout closes connections without requests; ReadHeaderTimeout bounds the time to read a request header.
 	IdleTimeout       time.Duration `json:"idle-timeout"`
 	ReadHeaderTimeout time.Duration `json:"read-header-timeout"`
 }
 
 // Steering sets the budgets and bounds of steering.
 type Steering struct {
-	// HedgePercent and RetryPercent are budgets, in percent of the requests.
+	// HedgePercent and RetryPercent are the budgets for hedges and retries, in percent of the requests.
 	HedgePercent int `json:"hedge-percent"`
 	RetryPercent int `json:"retry-percent"`
-	// QueueLength bounds the waiting requests of a service for which the catalogue gives no bound.
+	// QueueLength bounds the waiting requests of a service for which the catalogue sets no limit.
 	QueueLength int `json:"queue-length"`
 }
 
-// Membership sets the failure detection between entry VMs.
+// Membership configures the failure detection between entry VMs.
 type Membership struct {
-	// ProbeInterval is the time between probes, ProbeTimeout the time allowed for one answer.
+	// ProbeInterval is the time between probes, ProbeTimeout the time allowed for a reply.
 	ProbeInterval time.Duration `json:"probe-interval"`
 	ProbeTimeout  time.Duration `json:"probe-timeout"`
 	// SuspectTime is the time in which a suspected member can refute the suspicion.
 	SuspectTime time.Duration `json:"suspect-time"`
 }
 
-// Spread sets the dissemination of the catalogue.
+// Spread configures the dissemination of the catalogue.
 type Spread struct {
 	// Watchers is the number of entry VMs that watch the store.
 	Watchers int `json:"watchers"`
@@ -94,27 +93,27 @@
 	PushFanout int `json:"push-fanout"`
 }
 
-// Share sets the division of caps between entry VMs.
+// Share configures how entry VMs divide caps among each other.
 type Share struct {
-	// Lease is the time for which an entry of the ledger is held.
+	// Lease is the time after which a ledger entry expires unless renewed.
 	Lease time.Duration `json:"lease"`
-	// Loan is the time after which a loan ends unless renewed.
+	// Loan is the time after which a loan expires unless renewed.
 	Loan time.Duration `json:"loan"`
 }
 
-// Operations sets the handling of non-idempotent requests.
+// Operations configures the handling of non-idempotent requests.
 type Operations struct {
-	// MaxRecords bounds the records of one VM.
+	// MaxRecords bounds the number of operation records of one VM.
 	MaxRecords int `json:"max-records"`
 }
 
-// Guard sets the protection against content that crashes targets.
+// Guard configures the protection against content that crashes targets.
 type Guard struct {
 	// BlockTime is the time for which such content is refused.
 	BlockTime time.Duration `json:"block-time"`
 }
 
-// Load reads the settings file at path. Faults in the file are a *jsonc.ProblemsError.
+// Load reads the settings file at path. It returns problems in the file as a *jsonc.ProblemsError.
 func Load(path string) (set Settings, err error) {
 	defer func() {
 		err = errors.WithMessage(err, "settings")
@@ -133,7 +132,7 @@
 	return parse(path, data)
 }
 
-// Parse reads settings from data. name stands for the file in the faults, which are a *jsonc.ProblemsError.
+// Parse reads settings from data. It returns problems as a *jsonc.ProblemsError in which name is the file name.
 func Parse(name string, data []byte) (set Settings, err error) {
 	defer func() {
 		err = errors.WithMessage(err, "settings")
--- a/internal/conf/config/config_test.go
+++ b/internal/conf/config/config_test.go
@@ -24,7 +24,7 @@
 
 const key = "0123456789abcdef"
 
-// minimal holds the settings without a default, one a line.
+// minimal has only the settings without a default.
 const minimal = `{
 "vm-id": "v", "region": "r", "failure-domain": "d",
 "caller-address": "127.0.0.1:1", "peer-address": "127.0.0.1:2", "operator-address": "127.0.0.1:3",
@@ -50,8 +50,8 @@
 	return pths
 }
 
-// Guards against an example that is invalid, lacks a setting, or names a value that is not the default: without any one
-// setting that has a default, the example means the same.
+// Guards against an example that is invalid, lacks a setting, or has a value that is not the default: removing any one
+// setting that has a default must not change the result.
 func TestExampleNamesEveryDefault(t *testing.T) {
 	required := regexp.MustCompile(`^/(vm-id|region|failure-domain|(caller|peer|operator|store)-address|peer-key)$`)
 	noDefault := regexp.MustCompile(`^/(seeds|vm-list-address)$`)
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		if err = val.Patch([]byte(`[{"op":"remove","path":"` + pth + `"}]`)); err != nil {
-			t.Errorf("the example does not name %s: %v", pth, err)
+			t.Errorf("the example does not contain %s: %v", pth, err)
 			continue
 		}
 		got, err := config.Parse("example", val.Pack())
@@ -94,21 +94,21 @@
 	}{
 		{name: "misspelt name is ignored", extra: `"lookup-max-aeg": "5s"`, want: `s:5:1: lookup-max-aeg: is not known; did you mean "lookup-max-age"?`},
 		{name: "misspelt name in a group is ignored", extra: `"guard": {"block_time": "5s"}`, want: `did you mean "block-time"?`},
-		{name: "far-off name gets a wrong guess", extra: `"guard": {"x": 1}`, want: `is not known; known here: block-time`},
+		{name: "unrelated name gets a wrong suggestion", extra: `"guard": {"x": 1}`, want: `is not known; known here: block-time`},
 		{name: "second value of a name wins silently", extra: `"region": "q"`, want: "s:5:1: region: is given twice, first at 2:25"},
 		{name: "number for a duration is taken as nanoseconds", extra: `"lookup-max-age": 5`, want: `s:5:19: lookup-max-age: is a number; use a string with a unit`},
-		{name: "unit is guessed", extra: `"lookup-max-age": "5sec"`, want: "use a number with the unit"},
+		{name: "unknown unit is accepted", extra: `"lookup-max-age": "5sec"`, want: "use a number with the unit"},
 		{name: "decimal size unit is taken as binary", extra: `"limits": {"max-body": "1MB"}`, want: "use a whole number with the unit B, KiB, MiB or GiB"},
 		{name: "size overflows", extra: `"limits": {"max-body": "999999999999999999GiB"}`, want: "out of range; use a size from 0B to 64MiB"},
 		{name: "range is not checked", extra: `"steering": {"hedge-percent": 101}`, want: "101 is out of range; use a number from 0 to 100"},
 		{name: "fraction is truncated", extra: `"steering": {"hedge-percent": 1.5}`, want: "1.5 is not a whole number"},
 		{name: "null is taken as absent", extra: `"limits": null`, want: "limits: is null; use an object"},
-		{name: "host name needs a resolver", extra: `"vm-list-address": "localhost:7"`, want: "use an IP number and a port"},
-		{name: "seed that nobody can reach", extra: `"seeds": ["0.0.0.0:7"]`, want: "s:5:11: seeds[0]: "},
+		{name: "host name needs a resolver", extra: `"vm-list-address": "localhost:7"`, want: "use an IP address and a port"},
+		{name: "seed that cannot be reached", extra: `"seeds": ["0.0.0.0:7"]`, want: "s:5:11: seeds[0]: "},
 		{name: "unknown level", extra: `"log-level": "trace"`, want: "use debug, info, warn or error"},
 		{name: "probes overlap", extra: `"membership": {"probe-timeout": "500ms"}`, want: "500ms must be below probe-interval"},
 		{name: "suspects cannot refute", extra: `"membership": {"suspect-time": "500ms"}`, want: "must exceed probe-interval"},
-		{name: "cached look-up outlives its ticket", extra: `"lookup-max-age": "5m"`, want: "4m"},
+		{name: "cached look-up response outlives its ticket", extra: `"lookup-max-age": "5m"`, want: "4m"},
 		{name: "loan outlives the lease", extra: `"share": {"lease": "10s", "loan": "10s"}`, want: "must be below lease"},
 	}
 	for _, tst := range tests {
@@ -120,23 +120,23 @@
 	}
 }
 
-// Guards against a report that stops at the first fault, which costs an operator one restart for each.
+// Guards against a report that stops at the first problem, which would cost an operator one restart per problem.
 func TestParseReportsAllFaults(t *testing.T) {
 	_, err := config.Parse("s", []byte(`{"vm-id": 1, "caller-address": "0.0.0.0:1", "peer-key": "short", "limits": {"max-body": 1}}`))
 	var prs *jsonc.ProblemsError
 	if !errors.As(err, &prs) {
 		t.Fatalf("error is %v", err)
 	}
-	// vm-id, unreachable caller-address, peer-key, max-body, and five missing settings.
+	// vm-id, unspecified caller-address, peer-key, max-body and five missing settings.
 	if len(prs.Problems) != 9 {
-		t.Fatalf("%d faults, want 9:\n%v", len(prs.Problems), err)
+		t.Fatalf("%d problems, want 9:\n%v", len(prs.Problems), err)
 	}
 	if strings.Contains(err.Error(), "short") {
 		t.Fatalf("the report shows the key:\n%v", err)
 	}
 }
 
-// Guards against a key in logs, dumps and errors.
+// Guards against showing the key in logs, dumps and errors.
 func TestSecretIsHidden(t *testing.T) {
 	set, err := parse("")
 	if err != nil || string(set.PeerKey.Reveal()) != key {
@@ -161,7 +161,7 @@
 	}
 }
 
-// Guards against a crash, and against settings that are accepted with a value out of range.
+// Guards against a panic, and against accepting a value out of range.
 func FuzzParse(f *testing.F) {
 	data, err := os.ReadFile(examplePath)
 	if err != nil {
--- a/internal/conf/config/read.go
+++ b/internal/conf/config/read.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	minKeyBytes = 16 // a shorter shared key can be guessed by trial
-	// maxLookupAge is below the 5 minutes for which the ticket in a look-up answer can be used.
+	minKeyBytes = 16 // a shorter shared key can be found by brute force
+	// maxLookupAge is below the 5 minutes for which the ticket in a look-up response is valid.
 	maxLookupAge = 4 * time.Minute
 	hour         = time.Hour
 	day          = 24 * time.Hour
@@ -24,7 +24,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,63}$`)
 
-// group reads the members of one object with their defaults.
+// group reads the members of one object and applies their defaults.
 type group struct {
 	*jsonc.Object
 }
@@ -71,7 +71,7 @@
 	return def
 }
 
-// name reads a name that must be given.
+// name reads a required name.
 func (grp group) name(name string) string {
 	nod, ok := grp.Require(name)
 	if !ok {
@@ -84,7 +84,7 @@
 	return txt
 }
 
-// listen reads an address that must be given.
+// listen reads a required listen address.
 func (grp group) listen(name string) string {
 	nod, ok := grp.Require(name)
 	if !ok {
@@ -93,7 +93,7 @@
 	return address(nod, true)
 }
 
-// remote reads an address that others can be reached at, with a default.
+// remote reads an address to which connections are made, with a default.
 func (grp group) remote(name, def string) string {
 	if nod, ok := grp.get(name); ok {
 		return address(nod, false)
@@ -101,8 +101,8 @@
 	return def
 }
 
-// address reads host:port by IP number. An unspecified IP number such as 0.0.0.0 is for listening only, and so is port 0,
-// which takes any free port.
+// address reads an IP address and port. An unspecified address such as 0.0.0.0 is valid only for listening, and so is port 0,
+// which selects any free port.
 func address(nod jsonc.Node, listen bool) string {
 	txt, ok := nod.Text()
 	if !ok {
@@ -111,11 +111,11 @@
 	adr, err := netip.ParseAddrPort(txt)
 	switch {
 	case err != nil:
-		nod.Fail(`%q is not an address; use an IP number and a port, such as "10.0.0.1:7001"`, txt)
+		nod.Fail(`%q is not an address; use an IP address and a port, such as "10.0.0.1:7001"`, txt)
 	case adr.Port() == 0 && !listen:
 		nod.Fail("%q has port 0; use a port from 1 to 65535", txt)
 	case adr.Addr().IsUnspecified() && !listen:
-		nod.Fail("%q is not an address that others can reach; use the IP number of the machine", txt)
+		nod.Fail("%q is not an address that others can reach; use the IP address of the machine", txt)
 	default:
 		return adr.String()
 	}
@@ -124,7 +124,7 @@
 
 func read(nod jsonc.Node) (set Settings) {
 	grp := group{Object: nod.Object()}
-	set = readPlace(grp)
+	set = readIdentity(grp)
 	set.PeerKey = readKey(grp)
 	set.Seeds = readSeeds(grp)
 	set.LogLevel = readLevel(grp)
@@ -141,7 +141,7 @@
 	return set
 }
 
-func readPlace(grp group) (set Settings) {
+func readIdentity(grp group) (set Settings) {
 	set = Settings{
 		VMID:            cardamompass.VMID(grp.name("vm-id")),
 		Region:          cardamompass.Region(grp.name("region")),
@@ -233,7 +233,7 @@
 	sub, ok := subgroup(grp, "membership")
 	mbs = Membership{
 		ProbeInterval: sub.duration("probe-interval", 500*time.Millisecond, 10*time.Millisecond, time.Minute),
-		// Four round trips of 70 ms, for a new connection, its handshake and the probe, fit into the default.
+		// The default allows four round trips of 70 ms, for a new connection, its handshake and the probe.
 		ProbeTimeout: sub.duration("probe-timeout", 400*time.Millisecond, time.Millisecond, time.Minute),
 		SuspectTime:  sub.duration("suspect-time", 2*time.Second, 10*time.Millisecond, 10*time.Minute),
 	}
@@ -243,7 +243,7 @@
 	if mbs.ProbeTimeout >= mbs.ProbeInterval {
 		sub.Fail("probe-timeout", "%s must be below probe-interval, which is %s", mbs.ProbeTimeout, mbs.ProbeInterval)
 	}
-	// A suspected member refutes on the next probe, so it needs the time of at least one.
+	// A suspected member refutes the suspicion at the next probe, so it needs at least one probe interval.
 	if mbs.SuspectTime <= mbs.ProbeInterval {
 		sub.Fail("suspect-time", "%s must exceed probe-interval, which is %s", mbs.SuspectTime, mbs.ProbeInterval)
 	}
@@ -301,7 +301,7 @@
 	return grd
 }
 
-// checkAddresses refuses addresses that exclude each other and advertised addresses that nobody can reach.
+// checkAddresses reports listen addresses that are used twice and advertised addresses that are unspecified.
 func checkAddresses(grp group, set Settings) {
 	seen := map[string]string{}
 	for _, one := range []struct{ name, adr string }{
--- a/internal/conf/config/secret.go
+++ b/internal/conf/config/secret.go
@@ -9,11 +9,11 @@
 
 const hidden = "[hidden]"
 
-// Secret is a value that must not appear in logs, dumps or errors: all its printed, encoded and logged forms are
-// "[hidden]". It is immutable. The zero value is an empty secret.
+// Secret is a value that must not appear in logs, dumps or errors: it is printed, encoded and logged as "[hidden]". It is
+// immutable. The zero value is an empty secret.
 type Secret struct {
-	// A pointer, because fmt prints a pointer below the top level as an address. fmt calls no methods on unexported
-	// fields of other types, so Format alone would not hide the text there.
+	// txt is a pointer, because fmt prints a pointer below the top level as an address. fmt does not call methods of
+	// values in unexported fields of other types, so Format alone would not hide the text there.
 	txt *string
 }
 
@@ -30,7 +30,7 @@
 	}
 }
 
-// Reveal returns the secret itself.
+// Reveal returns the secret value.
 func (sec Secret) Reveal() []byte {
 	if sec.txt == nil {
 		return nil
--- a/internal/conf/jsonc/jsonc.go
+++ b/internal/conf/jsonc/jsonc.go
@@ -1,8 +1,8 @@
-// Package jsonc reads JSON, with or without comments, and collects every fault with its line and column.
+// Package jsonc reads JSON, with or without comments, and collects all problems with their lines and columns.
 //
-// A file is parsed into a tree of Nodes. Typed readers (Text, Int, Duration, Size and so on) check type, unit and
-// range; each fault is added to the Report of the file and reading goes on with a zero value, so that one run finds all
-// faults. Duplicate and unknown names in objects are faults. A tree is not safe for concurrent use.
+// A file is parsed into a tree of Nodes. Methods such as Text, Int, Duration and Size check type, unit and range. Each problem is
+// added to the Report of the file, and reading continues with a zero value, so that one run finds all problems. Duplicate and
+// unknown names in objects are problems. A tree is not safe for concurrent use.
 package jsonc
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxDepth bounds the nesting of objects and arrays. The parser recurses, and a file of 1 MiB of opening brackets
-// overflows its stack, which ends the process.
+// maxDepth bounds the nesting of objects and arrays. The parser is recursive, and a file of 1 MiB of opening brackets would
+// overflow the stack, which terminates the process.
 const maxDepth = 32
 
-// Format selects what a file may contain.
+// Format selects the syntax of a file.
 type Format int
 
 const (
@@ -31,20 +31,20 @@
 	WithComments
 )
 
-// Problem is one fault.
+// Problem is an error in a file or document.
 type Problem struct {
-	// File is the name under which the data was read; empty when there is none.
+	// File is the file name given to Parse; it may be empty.
 	File string
-	// Line and Column count from 1, Column in characters; both are 0 when the position is not known.
+	// Line and Column are counted from 1, Column in characters; both are 0 if the position is unknown.
 	Line   int
 	Column int
-	// Path names the faulty field, for example "limits.max-body"; empty for a fault of the whole file.
+	// Path names the field, for example "limits.max-body"; empty for a problem of the whole file.
 	Path string
-	// Reason says what is wrong and what would be right.
+	// Reason describes the problem and how to correct it.
 	Reason string
 }
 
-// String returns "file:line:column: path: reason" without the parts that are not known.
+// String returns "file:line:column: path: reason" without the parts that are unknown.
 func (prb Problem) String() string {
 	var bld strings.Builder
 	if prb.File != "" {
@@ -63,13 +63,13 @@
 	return bld.String()
 }
 
-// ProblemsError reports all faults of a file or document.
+// ProblemsError reports all problems of a file or document.
 type ProblemsError struct {
-	// Problems is not empty. It is sorted by position when positions are known.
+	// Problems is not empty. It is sorted by position if the positions are known.
 	Problems []Problem
 }
 
-// Error returns one line for each fault.
+// Error returns one line for each problem.
 func (err *ProblemsError) Error() string {
 	lns := make([]string, 0, len(err.Problems))
 	for _, prb := range err.Problems {
@@ -78,14 +78,14 @@
 	return strings.Join(lns, "\n")
 }
 
-// Report collects the faults of one file.
+// Report collects the problems of one file.
 type Report struct {
 	name string
 	data []byte
 	prbs []Problem
 }
 
-// Err returns a *ProblemsError with all faults in the order of their positions, or nil.
+// Err returns a *ProblemsError with all problems in the order of their positions, or nil if there are none.
 func (rep *Report) Err() (err error) {
 	if len(rep.prbs) == 0 {
 		return nil
@@ -120,18 +120,18 @@
 	return line, 1 + utf8.RuneCount(data[start:off])
 }
 
-// Parse parses data. name stands for the file in the faults. The error is a *ProblemsError when data is not
-// well-formed; all other faults are collected in the Report while the Node is read.
+// Parse parses data. name is the file name in reported problems. The error is a *ProblemsError if data is not well-formed;
+// all other problems are collected in the Report while the Node is read.
 func Parse(name string, data []byte, form Format) (nod Node, rep *Report, err error) {
 	rep = &Report{
 		name: name,
 		data: data,
 	}
-	if off, ok := invalidText(data); !ok {
+	if off, ok := invalidUTF8(data); !ok {
 		rep.add(off, "", "the bytes are not valid UTF-8")
 		return Node{}, rep, rep.Err()
 	}
-	if off, ok := tooDeep(data); ok {
+	if off, ok := findTooDeep(data); ok {
 		rep.add(off, "", "objects and arrays are nested deeper than %d levels", maxDepth)
 		return Node{}, rep, rep.Err()
 	}
@@ -152,7 +152,7 @@
 
 var syntaxPosition = regexp.MustCompile(`(?s)^hujson: line (\d+), column (\d+): (.*)$`)
 
-// addSyntax takes the position out of the parser's message, the only place where the parser gives it.
+// addSyntax adds a syntax error. It extracts the position from the message, because the parser does not report it otherwise.
 func (rep *Report) addSyntax(err error) {
 	prb := Problem{
 		File:   rep.name,
@@ -163,7 +163,7 @@
 		prb.Column, _ = strconv.Atoi(mat[2])
 		prb.Reason = mat[3]
 	}
-	// An invalid literal is quoted in the message and may be long or contain a secret.
+	// The parser quotes an invalid literal in its message. The literal may be long or contain a secret.
 	if strings.HasPrefix(prb.Reason, "invalid literal") {
 		prb.Reason = "invalid literal; use a string in double quotes, a number, true or false"
 	}
@@ -184,7 +184,7 @@
 	rep.add(0, "", "a comma after the last element or a comment is not allowed here")
 }
 
-func invalidText(data []byte) (off int, ok bool) {
+func invalidUTF8(data []byte) (off int, ok bool) {
 	for off < len(data) {
 		run, siz := utf8.DecodeRune(data[off:])
 		if run == utf8.RuneError && siz <= 1 {
@@ -195,8 +195,8 @@
 	return 0, true
 }
 
-// tooDeep returns the offset at which the nesting first exceeds maxDepth. It skips strings and comments.
-func tooDeep(data []byte) (off int, deep bool) {
+// findTooDeep returns the offset at which the nesting first exceeds maxDepth, ignoring brackets in strings and comments.
+func findTooDeep(data []byte) (off int, deep bool) {
 	level := 0
 	for off = 0; off < len(data); off++ {
 		switch data[off] {
@@ -216,7 +216,7 @@
 	return 0, false
 }
 
-// skipString returns the offset of the closing quote.
+// skipString returns the offset of the closing quote of the string that starts at off.
 func skipString(data []byte, off int) (end int) {
 	for end = off + 1; end < len(data) && data[end] != '"'; end++ {
 		if data[end] == '\\' {
--- a/internal/conf/jsonc/jsonc_test.go
+++ b/internal/conf/jsonc/jsonc_test.go
@@ -13,7 +13,7 @@
 		data string
 		deep bool
 	}{
-		{name: "a file of brackets overflows the parser's stack", data: strings.Repeat("[", 1<<20), deep: true},
+		{name: "file of brackets overflows the parser's stack", data: strings.Repeat("[", 1<<20), deep: true},
 		{name: "brackets after a comment are not counted", data: "/* x */" + strings.Repeat("[", 33), deep: true},
 		{name: "brackets in a string are counted", data: `["` + strings.Repeat("[", 99) + `\"[["]`},
 		{name: "brackets in comments are counted", data: "//" + strings.Repeat("[", 99) + "\n/*" + strings.Repeat("{", 99) + "*/[]"},
--- a/internal/conf/jsonc/node.go
+++ b/internal/conf/jsonc/node.go
@@ -15,20 +15,20 @@
 type Node struct {
 	rep *Report
 	val *hujson.Value
-	// The path is joined only when it is asked for, because a large file has many nodes and few faults.
-	within string // path of the containing node
-	name   string // name in an object, index in brackets in an array
+	// The path is joined only on demand, because a large file has many nodes and few problems.
+	parent string // path of the parent node
+	name   string // name in an object, or index in brackets in an array
 }
 
-// Path names the node, for example "limits.max-body".
+// Path returns the path of the node, for example "limits.max-body".
 func (nod Node) Path() string {
-	if nod.within == "" || strings.HasPrefix(nod.name, "[") {
-		return nod.within + nod.name
+	if nod.parent == "" || strings.HasPrefix(nod.name, "[") {
+		return nod.parent + nod.name
 	}
-	return nod.within + "." + nod.name
+	return nod.parent + "." + nod.name
 }
 
-// Fail adds a fault at the node.
+// Fail adds a problem at the node.
 func (nod Node) Fail(format string, args ...any) {
 	nod.rep.add(nod.val.StartOffset, nod.Path(), format, args...)
 }
@@ -95,7 +95,7 @@
 	return num, true
 }
 
-// Duration reads a string such as "500ms" from least to most.
+// Duration reads a string such as "500ms", with a value from least to most.
 func (nod Node) Duration(least, most time.Duration) (dur time.Duration, ok bool) {
 	lit, ok := nod.literal(`"`, `a string with a unit, such as "500ms"`)
 	if !ok {
@@ -123,7 +123,7 @@
 	}
 )
 
-// Size reads a string such as "16KiB" from least to most bytes.
+// Size reads a string such as "16KiB", with a value from least to most bytes.
 func (nod Node) Size(least, most int64) (bytes int64, ok bool) {
 	lit, ok := nod.literal(`"`, `a string with a unit, such as "16KiB"`)
 	if !ok {
@@ -143,7 +143,7 @@
 	return num * unt, true
 }
 
-// FormatSize returns bytes in the largest unit that divides it, as Size reads it.
+// FormatSize formats bytes in the largest unit that divides it, in the syntax of Size.
 func FormatSize(bytes int64) string {
 	for _, nam := range []string{"GiB", "MiB", "KiB"} {
 		if unt := sizeUnit[nam]; bytes != 0 && bytes%unt == 0 {
@@ -165,7 +165,7 @@
 		nods = append(nods, Node{
 			rep:    nod.rep,
 			val:    &arr.Elements[idx],
-			within: pth,
+			parent: pth,
 			name:   "[" + strconv.Itoa(idx) + "]",
 		})
 	}
@@ -183,31 +183,30 @@
 	return txts, ok
 }
 
-// indexFrom is the number of members from which an object has an index. Searching fewer is faster than a map.
-const indexFrom = 16
+// minIndexedMembers is the number of members from which an object has an index. For fewer, a linear search is faster than a map.
+const minIndexedMembers = 16
 
-// Object is an object whose members are read by name.
+// Object is a JSON object whose members are read by name.
 type Object struct {
-	nod   Node
-	path  string
-	mems  []Member
-	index map[string]int // positions in mems; nil for a small object
-	known []string
-	bad   bool
+	nod     Node
+	path    string
+	mems    []Member
+	index   map[string]int // positions in mems; nil for a small object
+	known   []string
+	invalid bool
 }
 
 // Member is one member of an object.
 type Member struct {
-	// Name is its name.
 	Name string
-	// Node is its value.
+	// Node is the value of the member.
 	Node Node
 
 	start int // offset of the name
 }
 
-// Object reads an object. A duplicate name is a fault; the first member of the name counts. For a value of another
-// type it adds a fault and returns an empty object, which reports no missing members.
+// Object reads an object. It adds a problem for each duplicate name and uses the first member of that name. For a value of
+// another type it adds a problem and returns an empty object, which does not report missing members.
 func (nod Node) Object() *Object {
 	obj := &Object{
 		nod:  nod,
@@ -216,11 +215,11 @@
 	raw, ok := nod.val.Value.(*hujson.Object)
 	if !ok {
 		nod.Fail("is %s; use an object", nod.kind())
-		obj.bad = true
+		obj.invalid = true
 		return obj
 	}
 	obj.mems = make([]Member, 0, len(raw.Members))
-	if len(raw.Members) >= indexFrom {
+	if len(raw.Members) >= minIndexedMembers {
 		obj.index = make(map[string]int, len(raw.Members))
 	}
 	for idx := range raw.Members {
@@ -234,7 +233,7 @@
 	nod := Node{
 		rep:    obj.nod.rep,
 		val:    &mem.Value,
-		within: obj.path,
+		parent: obj.path,
 		name:   nam,
 	}
 	if fst, ok := obj.find(nam); ok {
@@ -271,22 +270,22 @@
 // Members returns all members in the order of the file.
 func (obj *Object) Members() []Member { return obj.mems }
 
-// Get returns the member name, if it is there, and makes name known to Close.
+// Get returns the member with the given name, if it exists, and marks the name as known for Close.
 func (obj *Object) Get(name string) (nod Node, ok bool) {
 	obj.known = append(obj.known, name)
 	return obj.find(name)
 }
 
-// Require is Get for a member that must be there.
+// Require is like Get but adds a problem if the member does not exist.
 func (obj *Object) Require(name string) (nod Node, ok bool) {
 	nod, ok = obj.Get(name)
-	if !ok && !obj.bad {
+	if !ok && !obj.invalid {
 		obj.nod.Fail("%q is missing", name)
 	}
 	return nod, ok
 }
 
-// Fail adds a fault at the member name, or at the object if it is not there.
+// Fail adds a problem at the member with the given name, or at the object if the member does not exist.
 func (obj *Object) Fail(name, format string, args ...any) {
 	if nod, ok := obj.find(name); ok {
 		nod.Fail(format, args...)
@@ -295,13 +294,13 @@
 	obj.nod.Fail(name+": "+format, args...)
 }
 
-// Close adds a fault for each member whose name neither Get nor Need asked for.
+// Close adds a problem for each member whose name was not passed to Get or Require.
 func (obj *Object) Close() {
 	for _, mem := range obj.mems {
 		if slices.Contains(obj.known, mem.Name) {
 			continue
 		}
-		if nam := nearest(mem.Name, obj.known); nam != "" {
+		if nam := closestName(mem.Name, obj.known); nam != "" {
 			obj.nod.rep.add(mem.start, mem.Node.Path(), "is not known; did you mean %q?", nam)
 			continue
 		}
@@ -310,8 +309,8 @@
 	}
 }
 
-// nearest returns the known name with the smallest edit distance, or "" when more than half of the name differs.
-func nearest(name string, known []string) (best string) {
+// closestName returns the known name with the smallest edit distance, or "" if more than half of the name differs.
+func closestName(name string, known []string) (best string) {
 	if len(name) > 64 {
 		return ""
 	}
