--- a/internal/plat/httpc/httpc.go
+++ b/internal/plat/httpc/httpc.go
@@ -1,7 +1,8 @@
 // Package httpc makes HTTP calls with JSON to the platform's services.
 //
-// Every call has a deadline and a bound on the size of its answer, and connections are reused. A failed call reports
-// whether a byte of it may have left this process, because a write that may have been sent must be settled by reading.
+// Every call has a deadline and a limit on the size of its response, and connections are reused. A failed call reports whether
+// any byte of it may have left this process, because the outcome of a write that may have been sent must be determined by
+// reading.
 package httpc
 
 import (
@@ -24,21 +25,21 @@
 const (
 	// DefaultTimeout bounds a call whose Config sets no timeout.
 	DefaultTimeout = 2 * time.Second
-	// maxConns bounds the connections to one service; further calls wait for one within their deadline.
+	// maxConns bounds the connections to one service; further calls wait for a connection until their deadline.
 	maxConns = 64
-	// idleTimeout ends connections that no call used for this time.
+	// idleTimeout is the time after which an unused connection is closed.
 	idleTimeout = 90 * time.Second
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes bounds the header of a response.
 	maxHeaderBytes = 64 << 10
 )
 
 // Config describes a service.
 type Config struct {
-	// Address is the host:port, by IP number, of the service.
+	// Address is the IP address and port of the service.
 	Address string
-	// Timeout bounds every call, its dial included. Zero means DefaultTimeout.
+	// Timeout bounds every call, including the dial. Zero means DefaultTimeout.
 	Timeout time.Duration
-	// MaxResponseBytes bounds the body of an answer.
+	// MaxResponseBytes bounds the body of a response.
 	MaxResponseBytes int64
 }
 
@@ -48,21 +49,21 @@
 	htc *http.Client
 }
 
-// Call is one call.
+// Call describes an HTTP request to the service.
 type Call struct {
 	// Method is the HTTP method.
 	Method string
-	// Target is the path and query, escaped.
+	// Target is the escaped path and query.
 	Target string
-	// Header holds further header fields; it may be nil.
+	// Header holds additional header fields; it may be nil.
 	Header http.Header
 	// Body is encoded as JSON unless it is nil.
 	Body any
-	// ExtraTimeout is added to the timeout of the client, for calls that wait at the service.
+	// ExtraTimeout is added to the client's timeout, for calls whose response the service delays, such as a watch.
 	ExtraTimeout time.Duration
 }
 
-// Reply is the whole answer to a call.
+// Reply is the complete response to a call.
 type Reply struct {
 	// Status is the HTTP status.
 	Status int
@@ -70,17 +71,17 @@
 	Data []byte
 }
 
-// New returns a client. The clean-up function closes its idle connections; the calls must have ended before.
+// New returns a client. The cleanup function closes its idle connections and must be called after all calls have ended.
 func New(cfg Config) (cli *Client, cleanup func(), err error) {
 	if _, err = netip.ParseAddrPort(cfg.Address); err != nil {
 		return nil, nil, &cardamompass.InvalidError{
 			Field:  "address",
-			Reason: "must be host:port by IP number: " + err.Error(),
+			Reason: "must be an IP address and a port: " + err.Error(),
 		}
 	}
 	if cfg.Timeout < 0 || cfg.MaxResponseBytes <= 0 {
 		return nil, nil, &cardamompass.InvalidError{
-			Field:  "timeout or answer size",
+			Field:  "timeout or response size",
 			Reason: "must be positive",
 		}
 	}
@@ -109,7 +110,7 @@
 	return cli, trn.CloseIdleConnections, nil
 }
 
-// Do makes the call and reads its whole answer. After an error, sent is false only if no byte of the call left this
+// Do makes the call and reads the complete response. After an error, sent is false only if no byte of the call has left this
 // process.
 func (cli *Client) Do(ctx context.Context, cal Call) (rpl Reply, sent bool, err error) {
 	defer func() { err = errors.Wrapf(err, "%s %s", cal.Method, cal.Target) }()
@@ -131,7 +132,7 @@
 		return Reply{}, true, err
 	}
 	if int64(len(dat)) > cli.cfg.MaxResponseBytes {
-		return Reply{}, true, errors.Errorf("answer is longer than %d bytes", cli.cfg.MaxResponseBytes)
+		return Reply{}, true, errors.Errorf("response is longer than %d bytes", cli.cfg.MaxResponseBytes)
 	}
 	return Reply{
 		Status: rsp.StatusCode,
@@ -161,8 +162,8 @@
 	return req, nil
 }
 
-// sentTrace sets snt once the call has a connection. The transport asks for another connection only when the earlier
-// one broke with no byte written, or for a read, which may be repeated; a dial that then fails leaves a write unsent.
+// sentTrace sets snt once the call has a connection. The transport gets another connection only if the earlier one failed
+// before any byte was written, or for a read, which may be repeated. If that dial fails, a write has therefore not been sent.
 func sentTrace(snt *atomic.Bool) *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GetConn: func(string) { snt.Store(false) },
--- a/internal/plat/kvhttp/kvhttp.go
+++ b/internal/plat/kvhttp/kvhttp.go
@@ -1,8 +1,8 @@
 // Package kvhttp is the client of the HTTP interface of the platform's key-value store.
 //
-// It keeps the error contract of cardamompass.Store. A write counts as possibly done from the moment it has a
-// connection until an answer has been read whole and understood: status 400, 404, 412, 413 and 429 say that it had no
-// effect, status 200 that it took effect, and everything else leaves it open.
+// It implements the error contract of cardamompass.Store. The outcome of a write is unknown from the moment it has a connection
+// until a response has been read completely and decoded: status 400, 404, 412, 413 and 429 mean that it had no effect, status
+// 200 means that it took effect, and with any other response the outcome stays unknown.
 package kvhttp
 
 import (
@@ -20,14 +20,14 @@
 	"cardamompass/internal/plat/httpc"
 )
 
-// maxAnswerBytes leaves room for the largest value in base64, its key and its revision.
-const maxAnswerBytes = 2 * cardamompass.MaxValueBytes
+// maxResponseBytes is enough for the largest value in base64, its key and its revision.
+const maxResponseBytes = 2 * cardamompass.MaxValueBytes
 
 // Config describes the store.
 type Config struct {
-	// Address is the host:port, by IP number, of the store.
+	// Address is the IP address and port of the store.
 	Address string
-	// Timeout bounds every call; a watch may take its wait in addition. Zero means 2 s.
+	// Timeout bounds every call; the wait of a watch is added to it. Zero means 2 s.
 	Timeout time.Duration
 }
 
@@ -38,14 +38,14 @@
 
 var _ cardamompass.Store = (*Store)(nil)
 
-// New returns a client of the store. The clean-up function closes its idle connections; the calls must have ended
-// before.
+// New returns a client of the store. The cleanup function closes its idle connections and must be called after all calls have
+// ended.
 func New(cfg Config) (sto *Store, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "store client") }()
 	cli, cleanup, err := httpc.New(httpc.Config{
 		Address:          cfg.Address,
 		Timeout:          cfg.Timeout,
-		MaxResponseBytes: maxAnswerBytes,
+		MaxResponseBytes: maxResponseBytes,
 	})
 	if err != nil {
 		return nil, nil, err
@@ -131,10 +131,10 @@
 	var bdy valueBody
 	err = json.Unmarshal(rpl.Data, &bdy)
 	if err == nil && (bdy.Key != key || bdy.Revision <= revision) {
-		err = errors.Errorf("answer names key %q and revision %d", bdy.Key, bdy.Revision)
+		err = errors.Errorf("response has key %q and revision %d", bdy.Key, bdy.Revision)
 	}
 	if err != nil {
-		return cardamompass.Value{}, unknown(key, err)
+		return cardamompass.Value{}, unknownWrite(key, err)
 	}
 	return cardamompass.Value{
 		Key:      key,
@@ -148,7 +148,7 @@
 	if err != nil {
 		return cardamompass.Value{}, err
 	}
-	if _, err = verdict(rpl, key, 0); err != nil {
+	if _, err = classify(rpl, key, 0); err != nil {
 		return cardamompass.Value{}, err
 	}
 	var bdy valueBody
@@ -156,7 +156,7 @@
 		return cardamompass.Value{}, err
 	}
 	if bdy.Key != key || bdy.Revision <= 0 || len(bdy.Value) > cardamompass.MaxValueBytes {
-		return cardamompass.Value{}, errors.Errorf("answer names key %q and revision %d with %d bytes",
+		return cardamompass.Value{}, errors.Errorf("response has key %q and revision %d with %d bytes",
 			bdy.Key, bdy.Revision, len(bdy.Value))
 	}
 	return cardamompass.Value{
@@ -166,23 +166,23 @@
 	}, nil
 }
 
-// write makes a call that changes the store and returns its answer if the change took effect.
+// write makes a call that changes the store and returns the response if the change took effect.
 func (kst *Store) write(ctx context.Context, key string, cal httpc.Call, want int64) (rpl httpc.Reply, err error) {
 	rpl, snt, err := kst.cli.Do(ctx, cal)
 	if err != nil {
 		if snt {
-			return httpc.Reply{}, unknown(key, err)
+			return httpc.Reply{}, unknownWrite(key, err)
 		}
 		return httpc.Reply{}, err
 	}
-	cer, err := verdict(rpl, key, want)
+	cer, err := classify(rpl, key, want)
 	if err != nil && !cer {
-		return httpc.Reply{}, unknown(key, err)
+		return httpc.Reply{}, unknownWrite(key, err)
 	}
 	return rpl, err
 }
 
-func unknown(key string, err error) error {
+func unknownWrite(key string, err error) error {
 	return &cardamompass.WriteUnknownError{
 		Key: key,
 		Err: err,
@@ -205,7 +205,8 @@
 	return nil
 }
 
-// keyTarget escapes slashes, so that a key is one path segment, and dots, so that no server resolves "..".
+// keyTarget returns the path of a key. Slashes are escaped, so that a key is one path segment, and dots, so that no server
+// resolves "..".
 func keyTarget(key string) (trg string, err error) {
 	if key == "" {
 		return "", &cardamompass.InvalidError{
@@ -220,7 +221,7 @@
 	return strings.ReplaceAll(url.PathEscape(seg), ".", "%2E")
 }
 
-// milliseconds rounds up, so that a short wait does not become none.
+// milliseconds rounds up, so that a short wait does not become zero.
 func milliseconds(dur time.Duration) int64 {
 	return int64((dur + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/plat/kvhttp/kvhttp_test.go
+++ b/internal/plat/kvhttp/kvhttp_test.go
@@ -54,7 +54,7 @@
 	return srv, client(t, serve(t, srv), 10*time.Second)
 }
 
-// kind names the type of the error contract that err has.
+// kind returns a name for the type of err in the error contract of cardamompass.Store.
 func kind(err error) string {
 	var (
 		nfe *cardamompass.NotFoundError
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against an answer of a server that is taken for more, or less, than it says.
+// Guards against mapping a response to the wrong error, in particular against treating an unknown outcome as certain.
 func TestErrorContract(t *testing.T) {
 	ctx := context.Background()
 	raw := func(status int, bdy string) http.HandlerFunc {
@@ -93,11 +93,11 @@
 		put, renew string
 		get        string
 	}{
-		{"answer lost", func(http.ResponseWriter, *http.Request) { ctrl.Abort() }, "unknown", "unknown", "plain"},
-		{"answer is not JSON", raw(200, "<html>"), "unknown", "unknown", "plain"},
-		{"answer for another key", raw(200, `{"key":"other","revision":9}`), "unknown", "unknown", "plain"},
-		{"answer without revision", raw(200, `{"key":"k"}`), "unknown", "unknown", "plain"},
-		{"answer too long", raw(200, strings.Repeat(" ", 3<<20)), "unknown", "unknown", "plain"},
+		{"connection closed without a response", func(http.ResponseWriter, *http.Request) { ctrl.Abort() }, "unknown", "unknown", "plain"},
+		{"response is not JSON", raw(200, "<html>"), "unknown", "unknown", "plain"},
+		{"response for another key", raw(200, `{"key":"other","revision":9}`), "unknown", "unknown", "plain"},
+		{"response without revision", raw(200, `{"key":"k"}`), "unknown", "unknown", "plain"},
+		{"response too long", raw(200, strings.Repeat(" ", 3<<20)), "unknown", "unknown", "plain"},
 		{"server failed", raw(500, `{"error":"internal"}`), "unknown", "unknown", "plain"},
 		{"redirect", raw(307, ""), "unknown", "unknown", "plain"},
 		{"404 of another server", raw(404, "no such page"), "unknown", "unknown", "plain"},
@@ -132,13 +132,13 @@
 	}
 }
 
-// Guards against a write that is reported as possibly done although nothing was sent, against a write without an answer
-// that is reported as not done, and against a call that never ends.
-func TestSentOrNot(t *testing.T) {
+// Guards against reporting an unknown outcome for a write that was not sent, against reporting a write without a response as
+// failed, and against a call that never ends.
+func TestUnknownOutcome(t *testing.T) {
 	got := make(chan struct{}, 1)
 	hts := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		got <- struct{}{}
-		<-req.Context().Done() // a server that never answers
+		<-req.Context().Done() // a server that never responds
 	}))
 	defer hts.Close()
 	adr := hts.Listener.Addr().String()
@@ -149,14 +149,14 @@
 		cancel()
 	}()
 	if err := kst.Revoke(ctx, "l"); kind(err) != "unknown" {
-		t.Errorf("write whose caller left: %v", err)
+		t.Errorf("write that was cancelled after it was sent: %v", err)
 	}
 	if _, err := kst.Put(ctx, "k", nil, 0); kind(err) != "plain" {
 		t.Errorf("write with a cancelled context: %v", err)
 	}
 	ctx = context.Background()
 	if _, err := client(t, adr, time.Millisecond).Get(ctx, "k"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("call without an answer: %v", err)
+		t.Errorf("call without a response: %v", err)
 	}
 	if _, err := kst.Put(ctx, "k", make([]byte, cardamompass.MaxValueBytes+1), 0); kind(err) != "invalid" {
 		t.Errorf("write of a value that is too large: %v", err)
@@ -167,7 +167,7 @@
 	}
 }
 
-// Guards against keys that are split or resolved on the way, and against values changed by their encoding.
+// Guards against keys that are split or resolved as paths, and against values that are changed by their encoding.
 func TestKeysAndValues(t *testing.T) {
 	ctx := context.Background()
 	_, kst := store(t, nil)
@@ -194,7 +194,7 @@
 	}
 }
 
-// Guards against a watch that misses a write, and against one that returns before its time.
+// Guards against a watch that misses a write, and against a watch that returns before its wait has ended.
 func TestWatch(t *testing.T) {
 	ctx := context.Background()
 	clk := ctrl.NewManualClock(time.Unix(1000, 0))
@@ -222,14 +222,14 @@
 	watch(val.Revision)
 	clk.Advance(time.Second)
 	if got := <-res; got.err != nil || got.val.Revision != val.Revision {
-		t.Fatalf("watch that ended: %+v", got)
+		t.Fatalf("watch after its wait: %+v", got)
 	}
 	watch(val.Revision)
 	srv.SetFaults(kvsrv.Faults{
 		Outage: true,
 	})
 	if got := <-res; kind(got.err) != "plain" {
-		t.Fatalf("watch in an outage: %+v", got)
+		t.Fatalf("watch during an outage: %+v", got)
 	}
 	if got := srv.Counts()[kvsrv.KindWatch]; got < 3 {
 		t.Fatalf("%d watches were counted, want 3 or more", got)
--- a/internal/plat/kvhttp/lease.go
+++ b/internal/plat/kvhttp/lease.go
@@ -12,7 +12,7 @@
 	"cardamompass/internal/plat/httpc"
 )
 
-// grantKey stands for the lease that is not yet named in errors of a grant.
+// grantKey is used as the key in errors of Grant, because the lease has no id yet.
 const grantKey = "leases/new"
 
 type grantBody struct {
@@ -25,7 +25,7 @@
 	Remaining int64                `json:"remaining-ms"`
 }
 
-// Grant implements cardamompass.Store. A TTL is rounded up to whole milliseconds.
+// Grant implements cardamompass.Store. The TTL is rounded up to whole milliseconds.
 func (kst *Store) Grant(ctx context.Context, ttl time.Duration) (lse cardamompass.Lease, err error) {
 	defer func() { err = errors.Wrap(err, "grant lease") }()
 	if ttl <= 0 {
@@ -70,13 +70,13 @@
 	if err != nil {
 		return cardamompass.Lease{}, err
 	}
-	if _, err = verdict(rpl, leaseKey(id), 0); err != nil {
+	if _, err = classify(rpl, leaseKey(id), 0); err != nil {
 		return cardamompass.Lease{}, err
 	}
 	return decodeLease(rpl, id)
 }
 
-// Revoke implements cardamompass.Store. A lapsed lease is a NotFoundError.
+// Revoke implements cardamompass.Store. It returns a NotFoundError for an expired lease.
 func (kst *Store) Revoke(ctx context.Context, id cardamompass.LeaseID) (err error) {
 	defer func() { err = errors.Wrapf(err, "revoke lease %s", id) }()
 	trg, err := leaseTarget(id)
@@ -99,19 +99,19 @@
 	}
 	lse, err = decodeLease(rpl, id)
 	if err != nil {
-		return cardamompass.Lease{}, unknown(key, err)
+		return cardamompass.Lease{}, unknownWrite(key, err)
 	}
 	return lse, nil
 }
 
-// decodeLease reads the state of lease id, or of any lease when id is empty.
+// decodeLease decodes the state of the lease with the given id, or of any lease if id is empty.
 func decodeLease(rpl httpc.Reply, id cardamompass.LeaseID) (lse cardamompass.Lease, err error) {
 	var bdy leaseBody
 	if err = json.Unmarshal(rpl.Data, &bdy); err != nil {
 		return cardamompass.Lease{}, err
 	}
 	if bdy.ID == "" || (id != "" && bdy.ID != id) || bdy.TTL <= 0 || bdy.Remaining < 0 {
-		return cardamompass.Lease{}, errors.Errorf("answer names lease %q with a TTL of %d ms", bdy.ID, bdy.TTL)
+		return cardamompass.Lease{}, errors.Errorf("response has lease %q with a TTL of %d ms", bdy.ID, bdy.TTL)
 	}
 	return cardamompass.Lease{
 		ID:        bdy.ID,
--- a/internal/plat/kvhttp/verdict.go
+++ b/internal/plat/kvhttp/status.go
@@ -10,7 +10,7 @@
 	"cardamompass/internal/plat/httpc"
 )
 
-// The codes of error answers that have a typed error.
+// The codes of error responses that are mapped to a typed error.
 const (
 	codeNotFound = "not-found"
 	codeConflict = "conflict"
@@ -22,9 +22,9 @@
 	Revision *int64 `json:"revision"`
 }
 
-// verdict maps the status of an answer to an error. certain is set when the answer says that the call had no effect.
-// An answer with status 404 or 412 counts only with its code, because another server may give these statuses.
-func verdict(rpl httpc.Reply, key string, want int64) (certain bool, err error) {
+// classify maps the status of a response to an error. certain is false if it is unknown whether the call took effect. Status 404
+// and 412 count only with the store's error code, because another server may also return them.
+func classify(rpl httpc.Reply, key string, want int64) (certain bool, err error) {
 	if rpl.Status == http.StatusOK {
 		return true, nil
 	}
@@ -44,7 +44,7 @@
 			Have: *bdy.Revision,
 		}
 	}
-	err = errors.Errorf("store answered %d %s %s", rpl.Status, bdy.Error, bdy.Reason)
+	err = errors.Errorf("store returned status %d %s %s", rpl.Status, bdy.Error, bdy.Reason)
 	switch rpl.Status {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusTooManyRequests:
 		return true, err
--- a/internal/plat/vmlist/vmlist.go
+++ b/internal/plat/vmlist/vmlist.go
@@ -1,6 +1,6 @@
 // Package vmlist is the client of the platform's list of live and leaving VMs.
 //
-// The list lags; the answer states its age. Readers use it as a hint only.
+// The list is delayed, and each response contains its age. Readers must treat it only as a hint.
 package vmlist
 
 import (
@@ -15,12 +15,12 @@
 	"cardamompass/internal/plat/httpc"
 )
 
-// maxAnswerBytes is enough for some 20,000 VMs, ten times the target size with its targets.
-const maxAnswerBytes = 4 << 20
+// maxResponseBytes is enough for some 20,000 VMs, ten times the target size with its targets.
+const maxResponseBytes = 4 << 20
 
-// Config describes the service of the list.
+// Config describes the VM list service.
 type Config struct {
-	// Address is the host:port, by IP number, of the service.
+	// Address is the IP address and port of the service.
 	Address string
 	// Timeout bounds every call. Zero means 2 s.
 	Timeout time.Duration
@@ -33,14 +33,14 @@
 
 var _ cardamompass.VMLister = (*Lister)(nil)
 
-// New returns a client of the list. The clean-up function closes its idle connections; the calls must have ended
-// before.
+// New returns a client of the VM list. The cleanup function closes its idle connections and must be called after all calls have
+// ended.
 func New(cfg Config) (lst *Lister, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "VM list client") }()
 	cli, cleanup, err := httpc.New(httpc.Config{
 		Address:          cfg.Address,
 		Timeout:          cfg.Timeout,
-		MaxResponseBytes: maxAnswerBytes,
+		MaxResponseBytes: maxResponseBytes,
 	})
 	if err != nil {
 		return nil, nil, err
@@ -61,7 +61,7 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// List implements cardamompass.VMLister. An answer without a list is an error, not an empty list.
+// List implements cardamompass.VMLister. A response without a list is an error, not an empty list.
 func (lst *Lister) List(ctx context.Context) (vms []cardamompass.ListedVM, age time.Duration, err error) {
 	defer func() { err = errors.Wrap(err, "list VMs") }()
 	rpl, _, err := lst.cli.Do(ctx, httpc.Call{
@@ -72,14 +72,14 @@
 		return nil, 0, err
 	}
 	if rpl.Status != http.StatusOK {
-		return nil, 0, errors.Errorf("service answered %d", rpl.Status)
+		return nil, 0, errors.Errorf("service returned status %d", rpl.Status)
 	}
 	var bdy listBody
 	if err = json.Unmarshal(rpl.Data, &bdy); err != nil {
 		return nil, 0, err
 	}
 	if bdy.VMs == nil || bdy.Age < 0 {
-		return nil, 0, errors.Errorf("answer has no list or an age of %d ms", bdy.Age)
+		return nil, 0, errors.Errorf("response has no list or an age of %d ms", bdy.Age)
 	}
 	vms = make([]cardamompass.ListedVM, 0, len(bdy.VMs))
 	for _, itm := range bdy.VMs {
--- a/internal/plat/vmlist/vmlist_test.go
+++ b/internal/plat/vmlist/vmlist_test.go
@@ -34,7 +34,7 @@
 	return lst
 }
 
-// Guards against a list that shows edits early, late, or without its age.
+// Guards against a list that shows changes too early or too late, or does not report its age.
 func TestListLag(t *testing.T) {
 	clk := ctrl.NewManualClock(time.Unix(1000, 0))
 	srv, cleanup, err := vmsrv.New(vmsrv.Config{
@@ -69,18 +69,18 @@
 	}
 	srv.SetOutage(true)
 	if _, _, err := lst.List(context.Background()); err == nil {
-		t.Fatal("an outage gave a list")
+		t.Fatal("List succeeded during an outage")
 	}
 }
 
-// Guards against an unreadable answer that is taken for a list without VMs.
+// Guards against treating an invalid response as a list without VMs.
 func TestListUnreadable(t *testing.T) {
 	for _, bdy := range []string{"", "{}", `{"vms":null}`, `{"vms":[],"age-ms":-1}`, "<html>"} {
 		lst := lister(t, http.HandlerFunc(func(rsw http.ResponseWriter, _ *http.Request) {
 			_, _ = rsw.Write([]byte(bdy))
 		}))
 		if _, _, err := lst.List(context.Background()); err == nil {
-			t.Errorf("answer %q gave a list", bdy)
+			t.Errorf("response %q was accepted as a list", bdy)
 		}
 	}
 }
