--- a/cmd/cardamompass/bench.go
+++ b/cmd/cardamompass/bench.go
@@ -12,11 +12,11 @@
 type BenchCmd struct {
 	Scenario string        `arg:"" help:"Scenario: stragglers, blocking, storm, cost or times."`
 	Seed     uint64        `help:"Seed of arrivals, service times and faults." default:"1"`
-	Repeats  int           `help:"Number of runs; the table shows median and range." default:"3"`
-	Duration time.Duration `help:"Length of one load." default:"4s"`
-	Tries    int           `help:"Number of tries of each time in the scenario times." default:"5"`
+	Repeats  int           `help:"Number of runs; the table shows the median and the range." default:"3"`
+	Duration time.Duration `help:"Duration of each load." default:"4s"`
+	Tries    int           `help:"Number of measurements of each time in the scenario times." default:"5"`
 	JSON     bool          `help:"Print the report as JSON." name:"json"`
-	State    string        `help:"Write the state of the entry VMs and recent slow decisions after each current load to this file." type:"path"`
+	State    string        `help:"File for entry VM state and recent slow decisions after each load with current steering." type:"path"`
 	Plot     string        `help:"Write the latency curves to this PNG file." type:"path"`
 }
 
--- a/cmd/cardamompass/caller.go
+++ b/cmd/cardamompass/caller.go
@@ -14,10 +14,10 @@
 	"cardamompass/internal/load/caller"
 )
 
-// EntryFlags say where look-ups are made.
+// EntryFlags select the entry VMs for look-ups and the caller's region.
 type EntryFlags struct {
-	Entry  []string            `help:"Address of an entry VM, host:port by IP number; may be repeated." required:""`
-	Region cardamompass.Region `help:"Region of the caller. Default: by the caller's address."`
+	Entry  []string            `help:"Address of an entry VM, IP address and port; may be repeated." required:""`
+	Region cardamompass.Region `help:"Region of the caller. Default: the region of the caller's address."`
 }
 
 func (flg EntryFlags) caller() (clr *caller.Caller, cleanup func()) {
@@ -27,13 +27,13 @@
 	})
 }
 
-// LookupCmd makes a look-up.
+// LookupCmd looks up the entry VMs of a service.
 type LookupCmd struct {
 	EntryFlags
 	Service cardamompass.ServiceName `arg:"" help:"Service to look up."`
 }
 
-// Run prints the answer as JSON.
+// Run prints the look-up response as JSON.
 func (cmd *LookupCmd) Run(ctx context.Context, env Env) (err error) {
 	clr, cleanup := cmd.caller()
 	defer cleanup()
@@ -51,14 +51,14 @@
 	EntryFlags
 	Method    string                   `help:"HTTP method." default:"GET"`
 	Data      string                   `help:"Body of the request."`
-	Timeout   time.Duration            `help:"Time allowed for the answer, all sendings together." default:"5s"`
+	Timeout   time.Duration            `help:"Time allowed for the response, including all attempts." default:"5s"`
 	Operation bool                     `help:"The request may run at most once (not idempotent)."`
 	ID        cardamompass.RequestID   `help:"Request id. Default: a random one."`
-	Service   cardamompass.ServiceName `arg:"" help:"Service that the request is for."`
+	Service   cardamompass.ServiceName `arg:"" help:"Service to which the request is addressed."`
 	Path      string                   `arg:"" help:"Path and query, starting with a slash."`
 }
 
-// Run prints the outcome as one line on the error output and the answer's body on the output.
+// Run prints the outcome as one line to env.Err and the response body to env.Out.
 func (cmd *RequestCmd) Run(ctx context.Context, env Env) (err error) {
 	clr, cleanup := cmd.caller()
 	defer cleanup()
--- a/cmd/cardamompass/catalogue.go
+++ b/cmd/cardamompass/catalogue.go
@@ -13,7 +13,7 @@
 	"cardamompass/internal/conf/catlg"
 )
 
-// baseSuffix is appended to a file's name for the copy that get keeps of what was read.
+// baseSuffix is appended to the file name for the unchanged copy that get writes.
 const baseSuffix = ".base"
 
 // CatalogueCmd groups the commands on the catalogue.
@@ -27,14 +27,14 @@
 	Who      CatalogueWhoCmd      `cmd:"" help:"Show who owns and who last edited entries."`
 }
 
-// StoreFlags say where the catalogue is.
+// StoreFlags select the store and the key of the catalogue.
 type StoreFlags struct {
-	Store   string        `help:"Address of the store, host:port by IP number." required:""`
+	Store   string        `help:"Address of the store, IP address and port." required:""`
 	Key     string        `help:"Key of the catalogue in the store." default:"catalogue"`
 	Timeout time.Duration `help:"Time allowed for reading and writing." default:"10s"`
 }
 
-// open returns an Editor and its store. The cleanup function releases the connection.
+// open returns an Editor and its store. The cleanup function closes the connections to the store.
 func (flg StoreFlags) open(env Env, who string) (edt *catlg.Editor, str cardamompass.Store, cleanup func(), err error) {
 	str, cleanup, err = env.NewStore(flg.Store)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}), str, cleanup, nil
 }
 
-// read reads the document in the store.
+// read reads the document from the store.
 func (flg StoreFlags) read(ctx context.Context, env Env) (doc *catlg.Document, err error) {
 	edt, _, cleanup, err := flg.open(env, "")
 	if err != nil {
@@ -87,7 +87,7 @@
 	File string `arg:"" help:"Catalogue file." type:"path"`
 }
 
-// Run reports that the file is valid, or returns all its faults.
+// Run reports that the file is valid, or returns all its problems.
 func (cmd *CatalogueCheckCmd) Run(env Env) (err error) {
 	doc, err := readFile(cmd.File)
 	if err != nil {
@@ -100,13 +100,13 @@
 	return err
 }
 
-// CatalogueGetCmd reads the catalogue.
+// CatalogueGetCmd reads the catalogue from the store.
 type CatalogueGetCmd struct {
 	StoreFlags
-	File string `arg:"" optional:"" help:"File to write; a copy FILE.base is kept for put. Default: standard output." type:"path"`
+	File string `arg:"" optional:"" help:"File to write, with a copy FILE.base for put. Default: standard output." type:"path"`
 }
 
-// Run writes the document to the file, or to the standard output.
+// Run writes the document to the file, or to standard output.
 func (cmd *CatalogueGetCmd) Run(ctx context.Context, env Env) (err error) {
 	doc, err := cmd.read(ctx, env)
 	if err != nil {
@@ -129,16 +129,16 @@
 	return err
 }
 
-// CatalogueDiffCmd compares catalogues.
+// CatalogueDiffCmd compares a catalogue file with the store or with another file.
 type CatalogueDiffCmd struct {
-	Store   string        `help:"Address of the store, host:port by IP number."`
+	Store   string        `help:"Address of the store, IP address and port."`
 	Key     string        `help:"Key of the catalogue in the store." default:"catalogue"`
 	Timeout time.Duration `help:"Time allowed for reading." default:"10s"`
 	File    string        `arg:"" help:"Catalogue file." type:"path"`
 	Edited  string        `arg:"" optional:"" help:"Second file. Default: compare the store with FILE." type:"path"`
 }
 
-// Run shows the changes from the store to File, or from File to Edited.
+// Run prints the changes from the store to File, or from File to Edited.
 func (cmd *CatalogueDiffCmd) Run(ctx context.Context, env Env) (err error) {
 	fst, err := readFile(cmd.File)
 	if err != nil {
@@ -166,13 +166,13 @@
 	return printDiff(env.Out, cur, fst)
 }
 
-// CatalogueWhoCmd shows owners and editors.
+// CatalogueWhoCmd shows the owners of entries and the authors of their last edits.
 type CatalogueWhoCmd struct {
 	StoreFlags
 	Entry string `arg:"" optional:"" help:"Name of one entry. Default: all entries."`
 }
 
-// Run shows one line for each entry, deleted ones included.
+// Run prints one line for each entry, including deleted ones.
 func (cmd *CatalogueWhoCmd) Run(ctx context.Context, env Env) (err error) {
 	doc, err := cmd.read(ctx, env)
 	if err != nil {
--- a/cmd/cardamompass/catalogue_test.go
+++ b/cmd/cardamompass/catalogue_test.go
@@ -15,11 +15,11 @@
 	main "cardamompass/cmd/cardamompass"
 )
 
-// memStore holds one key.
+// memStore is a store of one key in memory.
 type memStore struct {
 	cardamompass.Store
 	val  cardamompass.Value
-	lose bool // the next answer to a write is lost, and so are all later calls
+	lose bool // the response to the next write is lost, and all later calls fail
 	down bool
 }
 
@@ -51,7 +51,7 @@
 	return str.Get(ctx, key)
 }
 
-// run parses a command line and runs it.
+// run parses and runs a command line.
 func run(t *testing.T, str *memStore, args ...string) (out string, err error) {
 	var (
 		buf bytes.Buffer
@@ -78,7 +78,7 @@
 	return buf.String(), err
 }
 
-// Guards against commands whose flags, files or outputs do not fit together: the steps are those of an operator's day.
+// Guards against commands whose flags, files or outputs do not fit together. The steps are a typical sequence of an operator.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	file, old := filepath.Join(dir, "c.json"), filepath.Join(dir, "old.json")
@@ -119,7 +119,7 @@
 		{name: "rollback", args: withStore("catalogue", "rollback", "target/depot-files-kpk-01", "--from="+old, "--by=ana"), want: "accepted; version=3"},
 		{name: "watch", args: withStore("catalogue", "watch", "--count=1"), want: "version=3 entries=73\nversion=3 entries=73\nno changes"},
 		{name: "rollback to the same state", args: withStore("catalogue", "rollback", "service/ledger", "--from="+example, "--by=ana"), want: "changes nothing", fails: true},
-		{name: "lost answer", before: func() { str.lose = true }, args: withStore("catalogue", "rollback", "target/depot-files-kpk-01", "--from="+file, "--by=ana"), want: "run the same command with --edit-id 4-", fails: true},
+		{name: "lost response", before: func() { str.lose = true }, args: withStore("catalogue", "rollback", "target/depot-files-kpk-01", "--from="+file, "--by=ana"), want: "run the same command with --edit-id 4-", fails: true},
 	}
 	last := ""
 	for _, stp := range steps {
@@ -140,6 +140,6 @@
 	str.down, str.lose = false, false
 	out, err := run(t, str, "catalogue", "rollback", "target/depot-files-kpk-01", "--from="+file, "--by=ana", "--store=127.0.0.1:1", "--edit-id="+id)
 	if want := "accepted; version=4 edit-id=" + id + "\n"; err != nil || out != want || str.val.Revision != 5 {
-		t.Fatalf("settling: %v, output %q, want %q at revision 5, have %d", err, out, want, str.val.Revision)
+		t.Fatalf("resolving the edit: %v, output %q, want %q at revision 5, have %d", err, out, want, str.val.Revision)
 	}
 }
--- a/cmd/cardamompass/demo.go
+++ b/cmd/cardamompass/demo.go
@@ -9,13 +9,13 @@
 	"cardamompass/internal/stand/demo"
 )
 
-// DemoCmd runs a whole small site.
+// DemoCmd runs a small complete site in one process.
 type DemoCmd struct {
 	Once bool   `help:"Send one request of each kind, edit the catalogue, drain a target, and exit."`
-	Log  string `help:"Lowest level of the entry VMs' log lines that are shown." enum:"none,debug,info,warn,error" default:"none"`
+	Log  string `help:"Lowest level at which log lines of the entry VMs are shown." enum:"none,debug,info,warn,error" default:"none"`
 }
 
-// Run runs the site until a signal arrives, or once.
+// Run runs the site until a signal arrives. With Once it runs the fixed sequence of steps and returns.
 func (cmd *DemoCmd) Run(ctx context.Context, env Env) (err error) {
 	cfg := logkv.Config{
 		Writer: env.Err,
--- a/cmd/cardamompass/dump.go
+++ b/cmd/cardamompass/dump.go
@@ -20,19 +20,19 @@
 
 const (
 	dumpTimeout = 5 * time.Second
-	// maxDumpBytes bounds the state that is read from one process.
+	// maxDumpBytes bounds the size of the response of one process.
 	maxDumpBytes = 64 << 20
 )
 
 // DumpCmd shows the state of entry VMs.
 type DumpCmd struct {
 	JSON      bool     `help:"Print the whole state as JSON." name:"json"`
-	All       bool     `help:"Compare the entry VMs and name where they differ."`
+	All       bool     `help:"Compare the entry VMs and show their differences."`
 	RequestID string   `help:"Show the recent decisions about this request instead."`
-	Operators []string `arg:"" help:"Operators' addresses of entry VMs, host:port by IP number."`
+	Operators []string `arg:"" help:"Operator addresses of entry VMs, IP address and port."`
 }
 
-// Run prints the state of each entry VM, its decisions, or the differences.
+// Run prints the state of each entry VM, its decisions about one request, or the differences between the entry VMs.
 func (cmd *DumpCmd) Run(ctx context.Context, env Env) (err error) {
 	if cmd.RequestID != "" {
 		return cmd.decisions(ctx, env)
@@ -108,7 +108,7 @@
 	return json.NewDecoder(io.LimitReader(res.Body, maxDumpBytes)).Decode(value)
 }
 
-// writeState prints a state for people.
+// writeState prints a state as readable text.
 func writeState(out io.Writer, sta entry.State) (err error) {
 	tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tab, "VM %s\tincarnation %d\t%s/%s\tstate %s\n",
@@ -127,7 +127,7 @@
 	for _, svc := range sta.Services {
 		fmt.Fprintf(tab, "\nservice %s\twaiting %d\tusual %s\tp95 %s\n", svc.Name, svc.Waiting, svc.Usual, svc.P95)
 		for _, tgt := range svc.Targets {
-			fmt.Fprintf(tab, "%s\t%s\t%d of %d slots\t%s\n", tgt.ID, tgt.Region, tgt.InFlight, tgt.Slots, marks(tgt))
+			fmt.Fprintf(tab, "%s\t%s\t%d of %d slots\t%s\n", tgt.ID, tgt.Region, tgt.InFlight, tgt.Slots, targetFlags(tgt))
 		}
 	}
 	for _, sus := range sta.Suspects {
@@ -136,20 +136,21 @@
 	return tab.Flush()
 }
 
-func marks(tgt entry.TargetState) string {
+func targetFlags(tgt entry.TargetState) string {
 	var list []string
-	for mark, set := range map[string]bool{
+	for flag, set := range map[string]bool{
 		"leaving": tgt.Leaving, "failing": tgt.Failing, "straggler": tgt.Straggler, "cold": tgt.Cold,
 	} {
 		if set {
-			list = append(list, mark)
+			list = append(list, flag)
 		}
 	}
 	slices.Sort(list)
 	return strings.Join(list, " ")
 }
 
-// writeDifferences returns an error if entry VMs differ and names where entry VMs differ: the catalogue in force, their view of the members and of leaving targets.
+// writeDifferences prints the groups of entry VMs that differ in the active catalogue, the members or the leaving targets. It
+// returns an error if there is more than one group.
 func writeDifferences(out io.Writer, states map[string]entry.State) (err error) {
 	type view struct{ catalogue, members, leaving string }
 	views := make(map[view][]string)
--- a/cmd/cardamompass/edits.go
+++ b/cmd/cardamompass/edits.go
@@ -12,19 +12,19 @@
 	"cardamompass/internal/conf/catlg"
 )
 
-// watchWait is the time that one watch call waits in the store.
+// watchWait is the longest time that one watch call waits for a change.
 const watchWait = 30 * time.Second
 
-// CataloguePutCmd puts an edited file.
+// CataloguePutCmd puts an edited catalogue file into the store.
 type CataloguePutCmd struct {
 	StoreFlags
 	File   string `arg:"" help:"Edited catalogue file." type:"path"`
-	Base   string `help:"The file as get wrote it. Default: FILE.base, which get keeps." type:"path"`
-	By     string `help:"Who makes the edit." required:""`
-	EditID string `help:"Id of an edit whose outcome is unknown, to settle it."`
+	Base   string `help:"The file as written by get. Default: FILE.base, which get writes." type:"path"`
+	By     string `help:"Name of the person who makes the edit." required:""`
+	EditID string `help:"Id of an edit whose outcome is unknown, to resolve it."`
 }
 
-// Run shows the changes and makes them. Only what differs between the base and the file is changed.
+// Run prints the changes between the base and the file and applies them. Everything else stays unchanged.
 func (cmd *CataloguePutCmd) Run(ctx context.Context, env Env) (err error) {
 	edited, err := readFile(cmd.File)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return err
 }
 
-// base returns the document on which the file is based. Without a base file this is the document in the store, if the
-// file has its version: the changes since an older version could not be told from those of the file.
+// base returns the document on which the file is based. Without a base file this is the document in the store, provided that
+// the file has the same version: changes since an older version could not be distinguished from those of the file.
 func (cmd *CataloguePutCmd) base(ctx context.Context, edt *catlg.Editor, edited *catlg.Document) (doc *catlg.Document, err error) {
 	pth := cmd.Base
 	if pth == "" {
@@ -78,7 +78,7 @@
 	return doc, nil
 }
 
-// report shows an accepted edit, or tells how to settle one whose outcome is unknown.
+// report prints an accepted edit, or how to resolve an edit whose outcome is unknown.
 func report(env Env, acc catlg.Accepted, err error) error {
 	var unk *catlg.EditUnknownError
 	if errors.As(err, &unk) {
@@ -91,13 +91,13 @@
 	return err
 }
 
-// CatalogueRollbackCmd restores an entry.
+// CatalogueRollbackCmd restores an entry from an earlier catalogue file.
 type CatalogueRollbackCmd struct {
 	StoreFlags
 	Entry  string `arg:"" help:"Name of the entry, for example service/ledger."`
-	From   string `help:"Earlier catalogue file that holds the state to restore." required:"" type:"path"`
-	By     string `help:"Who makes the edit." required:""`
-	EditID string `help:"Id of an edit whose outcome is unknown, to settle it."`
+	From   string `help:"Earlier catalogue file with the state to restore." required:"" type:"path"`
+	By     string `help:"Name of the person who makes the edit." required:""`
+	EditID string `help:"Id of an edit whose outcome is unknown, to resolve it."`
 }
 
 // Run makes a new edit that restores the entry.
@@ -121,14 +121,14 @@
 	return report(env, acc, err)
 }
 
-// CatalogueWatchCmd follows the catalogue.
+// CatalogueWatchCmd watches the catalogue for edits.
 type CatalogueWatchCmd struct {
 	StoreFlags
-	Count int `help:"End after this number of edits; 0 for no end." default:"0"`
+	Count int `help:"Exit after this number of edits; 0 for no limit." default:"0"`
 }
 
-// Run shows the changes of each new document until ctx ends or Count documents were shown. Edits that follow each
-// other quickly may be shown together. A failure of the store is shown, and watching goes on.
+// Run prints the changes of each new document until ctx ends or Count documents have been printed. Edits in quick succession may
+// be printed together. A store failure is printed, and watching continues.
 func (cmd *CatalogueWatchCmd) Run(ctx context.Context, env Env) (err error) {
 	edt, str, cleanup, err := cmd.open(env, "")
 	if err != nil {
@@ -149,7 +149,7 @@
 		}
 		if err != nil {
 			_, _ = fmt.Fprintln(env.Err, err)
-			_ = waitShort(ctx) // a cancelled ctx ends the loop at the next call
+			_ = retryPause(ctx) // a cancelled ctx ends the loop at the next call
 		}
 		if err != nil || nxt == nil {
 			continue
@@ -166,13 +166,13 @@
 	return nil
 }
 
-// next waits for a document after revision rev. It returns nil when there was none in time.
+// next waits for a document with a revision above rev. It returns nil if there is none within watchWait.
 func (cmd *CatalogueWatchCmd) next(ctx context.Context, str cardamompass.Store, rev int64) (doc *catlg.Document, now int64, err error) {
 	val, err := str.Watch(ctx, cmd.Key, rev, watchWait)
 	var missing *cardamompass.NotFoundError
 	switch {
 	case errors.As(err, &missing):
-		return nil, rev, waitShort(ctx)
+		return nil, rev, retryPause(ctx)
 	case err != nil:
 		return nil, rev, errors.WithMessage(err, "watch catalogue")
 	case val.Revision <= rev:
@@ -182,8 +182,8 @@
 	return doc, val.Revision, err
 }
 
-// waitShort keeps a watch that fails at once from calling the store without a pause.
-func waitShort(ctx context.Context) (err error) {
+// retryPause waits one second, so that a watch that fails immediately does not call the store in a busy loop.
+func retryPause(ctx context.Context) (err error) {
 	tmr := time.NewTimer(time.Second)
 	defer tmr.Stop()
 	select {
--- a/cmd/cardamompass/env.go
+++ b/cmd/cardamompass/env.go
@@ -7,11 +7,11 @@
 	"cardamompass"
 )
 
-// Env is what the commands use of the process.
+// Env holds the process-wide dependencies of the commands.
 type Env struct {
-	// Out receives results, Err receives remarks.
+	// Out receives results, Err receives messages.
 	Out io.Writer
 	Err io.Writer
-	// NewStore connects to the store at address (host:port). The returned function releases the connection.
+	// NewStore returns a client of the store at address (host:port). The returned function closes its connections.
 	NewStore func(address string) (str cardamompass.Store, cleanup func(), err error)
 }
--- a/cmd/cardamompass/latency.go
+++ b/cmd/cardamompass/latency.go
@@ -7,10 +7,10 @@
 	"cardamompass/internal/load/rounds"
 )
 
-// LatencyCmd shows the latency by kind of request on days of the users' bench.
+// LatencyCmd shows the latency by kind of request for days of the users' bench.
 type LatencyCmd struct {
-	Reports []string                 `arg:"" help:"Reports of days, as the bench writes them with --report." type:"existingfile"`
-	Aim     map[string]time.Duration `help:"Aim of a kind, as kind=500ms; repeatable." mapsep:","`
+	Reports []string                 `arg:"" help:"Reports of days, as written by the bench with --report." type:"existingfile"`
+	Aim     map[string]time.Duration `help:"Latency objective of a kind, for example kind=500ms; may be repeated." mapsep:","`
 	Plot    string                   `help:"Write the latencies to this PNG file." type:"path"`
 }
 
--- a/cmd/cardamompass/main.go
+++ b/cmd/cardamompass/main.go
@@ -14,13 +14,13 @@
 	"cardamompass/internal/plat/kvhttp"
 )
 
-// commands is the command line.
+// commands defines the command line.
 type commands struct {
 	Serve     ServeCmd     `cmd:"" help:"Run the process of one entry VM."`
-	Demo      DemoCmd      `cmd:"" default:"withargs" help:"Run a whole small site in this process."`
+	Demo      DemoCmd      `cmd:"" default:"withargs" help:"Run a small complete site in this process."`
 	Catalogue CatalogueCmd `cmd:"" help:"Read, check and edit the catalogue."`
 	Settings  SettingsCmd  `cmd:"" help:"Check settings."`
-	Lookup    LookupCmd    `cmd:"" help:"Ask which entry VMs to use."`
+	Lookup    LookupCmd    `cmd:"" help:"Look up which entry VMs to use."`
 	Request   RequestCmd   `cmd:"" help:"Send a request as a caller does."`
 	Dump      DumpCmd      `cmd:"" help:"Show the state of entry VMs."`
 	Bench     BenchCmd     `cmd:"" help:"Measure the steering under load, against the naive baseline."`
@@ -52,10 +52,10 @@
 	})
 }
 
-// VersionCmd shows the version.
+// VersionCmd shows the program's version.
 type VersionCmd struct{}
 
-// Run prints the version, the Go version and the revision that the program was built from, as far as they are known.
+// Run prints the program's version and the Go version it was built with, as far as they are known.
 func (*VersionCmd) Run(env Env) (err error) {
 	inf, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/cardamompass/rounds.go
+++ b/cmd/cardamompass/rounds.go
@@ -6,13 +6,13 @@
 	"cardamompass/internal/load/rounds"
 )
 
-// RoundsCmd shows how the worth of the users' standard days changed.
+// RoundsCmd shows how the scores of the users' standard days changed over time.
 type RoundsCmd struct {
 	Journal string `arg:"" help:"Folder with the journal of the users' bench." type:"existingdir"`
 	Plot    string `help:"Write the mean worth by score to this PNG file." type:"path"`
 }
 
-// Run prints the scores in the journal, the oldest first.
+// Run prints the scores in the journal, oldest first.
 func (cmd *RoundsCmd) Run(env Env) (err error) {
 	rds, err := rounds.Read(cmd.Journal)
 	if err != nil {
--- a/cmd/cardamompass/serve.go
+++ b/cmd/cardamompass/serve.go
@@ -16,7 +16,7 @@
 	"cardamompass/internal/plat/vmlist"
 )
 
-// bootFile holds an id that is new with each start of the operating system.
+// bootFile contains an id that changes at each start of the operating system.
 const bootFile = "/proc/sys/kernel/random/boot_id"
 
 // ServeCmd runs an entry VM.
@@ -25,7 +25,7 @@
 	StopTimeout time.Duration `help:"Time allowed for a planned stop (SIGINT or SIGTERM)." default:"2m"`
 }
 
-// Run serves until a signal asks for a planned stop, and returns when that is done.
+// Run serves until SIGINT or SIGTERM requests a planned stop, and returns when the stop is complete.
 func (cmd *ServeCmd) Run(ctx context.Context, env Env) (err error) {
 	set, err := config.Load(cmd.Settings)
 	if err != nil {
@@ -40,7 +40,7 @@
 		return err
 	}
 	defer flush()
-	// net/http writes to the standard logger when a target sends bytes that belong to no request.
+	// net/http writes to the standard logger when a target sends unsolicited bytes on an idle connection.
 	defer zap.RedirectStdLog(log.Logger)()
 	prc, cleanup, err := newProcess(set, env, log)
 	if err != nil {
@@ -53,7 +53,7 @@
 		defer cancel()
 		return prc.Stop(sctx)
 	case <-prc.Superseded():
-		return errors.New("a later process of the same VM runs")
+		return errors.New("superseded by a later process of the same VM")
 	}
 }
 
@@ -97,7 +97,7 @@
 	return prc, cleanup, nil
 }
 
-// bootID returns the id of the run of the operating system, empty where there is none.
+// bootID returns the boot id of the operating system, or an empty string if there is none.
 func bootID() string {
 	data, err := os.ReadFile(bootFile)
 	if err != nil {
--- a/cmd/cardamompass/settings.go
+++ b/cmd/cardamompass/settings.go
@@ -16,7 +16,7 @@
 	File string `arg:"" help:"Settings file, JSON with comments." type:"path"`
 }
 
-// Run reports that the file is valid, or returns all its faults.
+// Run reports that the file is valid, or returns all its problems.
 func (cmd *SettingsCheckCmd) Run(env Env) (err error) {
 	set, err := config.Load(cmd.File)
 	if err != nil {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs the stand-ins of the platform and of targets as separate processes, for tests and the demo.
+// Command standin runs stand-ins for the platform's services and for targets as separate processes, for tests and the demo.
 //
-// It prints the address at which it listens as one line address=HOST:PORT and runs until it gets SIGINT or SIGTERM.
+// It prints its listen address as a line address=HOST:PORT and runs until SIGINT or SIGTERM.
 package main
 
 import (
@@ -21,38 +21,38 @@
 )
 
 type commands struct {
-	Store  storeCmd  `cmd:"" help:"Run a stand-in of the key-value store."`
-	VMs    vmsCmd    `cmd:"" name:"vms" help:"Run a stand-in of the VM list."`
-	Target targetCmd `cmd:"" help:"Run a stand-in of a target."`
+	Store  storeCmd  `cmd:"" help:"Run a stand-in for the key-value store."`
+	VMs    vmsCmd    `cmd:"" name:"vms" help:"Run a stand-in for the VM list."`
+	Target targetCmd `cmd:"" help:"Run a stand-in for a target."`
 }
 
 type storeCmd struct {
-	Address         string `default:"127.0.0.1:0" help:"Address to listen at, by IP number."`
-	WritesPerSecond int    `help:"Limit of writes per second, 0 for none."`
-	ReadsPerSecond  int    `help:"Limit of reads per second, 0 for none."`
+	Address         string `default:"127.0.0.1:0" help:"IP address and port to listen on."`
+	WritesPerSecond int    `help:"Limit of writes per second, 0 for no limit."`
+	ReadsPerSecond  int    `help:"Limit of reads per second, 0 for no limit."`
 }
 
 type vmsCmd struct {
-	Address string        `default:"127.0.0.1:0" help:"Address to listen at, by IP number."`
-	Lag     time.Duration `help:"Time after which an edit shows in the list."`
+	Address string        `default:"127.0.0.1:0" help:"IP address and port to listen on."`
+	Lag     time.Duration `help:"Delay after which a change appears in the list."`
 }
 
 type targetCmd struct {
-	Address        string        `default:"127.0.0.1:0" help:"Address to listen at, by IP number."`
-	ControlAddress string        `help:"Further address for /control/ that survives crashes, printed as control=HOST:PORT."`
-	Slots          int           `default:"6" help:"Requests that run at the same time."`
-	Connections    int           `help:"Connections that are accepted, 0 for no limit."`
+	Address        string        `default:"127.0.0.1:0" help:"IP address and port to listen on."`
+	ControlAddress string        `help:"Additional address for /control/ that stays available during crashes, printed as control=HOST:PORT."`
+	Slots          int           `default:"6" help:"Number of requests that run concurrently."`
+	Connections    int           `help:"Maximum number of connections, 0 for no limit."`
 	ServiceTime    time.Duration `default:"5ms" help:"Service time of a request."`
-	AnswerBytes    int64         `default:"64" help:"Size of an answer."`
-	WhenFull       string        `default:"queue" enum:"queue,shed" help:"What to do when all slots are taken."`
+	AnswerBytes    int64         `default:"64" help:"Size of a response body in bytes."`
+	WhenFull       string        `default:"queue" enum:"queue,shed" help:"What to do when all slots are in use."`
 	ColdFor        time.Duration `help:"Time after a start during which requests are slow."`
-	ColdFactor     float64       `default:"4" help:"How many times slower requests are then."`
-	RestartAfter   time.Duration `help:"Time after a crash at which the target starts again, 0 for never."`
+	ColdFactor     float64       `default:"4" help:"Factor by which requests are slower during that time."`
+	RestartAfter   time.Duration `help:"Time after which a crashed target restarts, 0 for never."`
 }
 
 func main() {
 	var cmd commands
-	ctx := kong.Parse(&cmd, kong.Description("Stand-ins of the platform and of targets."))
+	ctx := kong.Parse(&cmd, kong.Description("Stand-ins for the platform's services and for targets."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
@@ -123,7 +123,7 @@
 	return wait("address", tgt.Address(), "control", adr)
 }
 
-// wait prints pairs of a name and a value, one a line, and waits for a signal.
+// wait prints pairs of a name and a value, one per line, and waits for SIGINT or SIGTERM.
 func wait(pairs ...string) (err error) {
 	defer func() { err = errors.Wrap(err, "print address") }()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
