--- a/internal/conf/catlg/concurrent_test.go
+++ b/internal/conf/catlg/concurrent_test.go
@@ -80,7 +80,7 @@
 		if rnd.IntN(12) == 0 {
 			trn.kill()
 		}
-		trn.run <- []fault{none, none, held, held, refused, responseLost, writeLost, writeLate}[rnd.IntN(8)]
+		trn.run <- []fault{none, none, held, held, refused, responseLost, writeLost, writeDelayed}[rnd.IntN(8)]
 	}
 	str.before = nil
 	for _, lst := range results {
--- a/internal/conf/catlg/editor_test.go
+++ b/internal/conf/catlg/editor_test.go
@@ -39,7 +39,7 @@
 	refused            // the call fails without effect
 	responseLost       // a write takes effect, its response is lost
 	writeLost          // a write has no effect, and its response is lost
-	writeLate          // a write takes effect only at a later call, and its response is lost
+	writeDelayed       // a write takes effect only at a later call, and its response is lost
 	held               // the call succeeds, and delayed writes stay delayed
 )
 
@@ -105,7 +105,7 @@
 		return val, err
 	case flt == responseLost:
 		str.swap(wrt)
-	case flt == writeLate:
+	case flt == writeDelayed:
 		str.delayed = append(str.delayed, wrt)
 	case flt == none && str.swap(wrt):
 		return cardamompass.Value{Key: key, Data: data, Revision: rev + 1}, nil
@@ -147,12 +147,12 @@
 	}{
 		{name: "accepted edit with lost response is reported as failed", faults: []fault{responseLost}, writes: 1},
 		{name: "edit is lost with its write", faults: []fault{writeLost}, writes: 1},
-		{name: "delayed write is followed by a second one", faults: []fault{writeLate}, writes: 1},
-		{name: "delayed write between read and retry is taken for a conflict", faults: []fault{writeLate, held}, writes: 1},
+		{name: "delayed write is followed by a second one", faults: []fault{writeDelayed}, writes: 1},
+		{name: "delayed write between read and retry is taken for a conflict", faults: []fault{writeDelayed, held}, writes: 1},
 		{name: "failed read after a lost response is taken for a refusal", faults: []fault{responseLost, refused, refused}, writes: 1},
 		{name: "retries write twice", faults: []fault{writeLost, none, responseLost}, writes: 1},
 		{name: "deadline before the outcome is known is taken for a refusal", faults: []fault{responseLost, refused}, unknown: true, writes: 1},
-		{name: "deadline before the delayed write", faults: []fault{writeLate, refused}, unknown: true, writes: 1},
+		{name: "deadline before the delayed write", faults: []fault{writeDelayed, refused}, unknown: true, writes: 1},
 		{name: "store failure before the write is reported as unknown", faults: []fault{refused}},
 	}
 	for _, tst := range tests {
--- a/internal/conf/catlg/rebase.go
+++ b/internal/conf/catlg/rebase.go
@@ -10,8 +10,8 @@
 // every later edit does.
 //
 // Such an edit has a version that the active document records under another edit id. An edit that is merely older, as in a
-// delayed response of the store, has a version and an id that the active document both records. Edits older than the MaxEdits
-// records of the active document cannot be distinguished and are left unchanged.
+// delayed response of the store, has a version and an id that are both recorded in the active document. Edits older than the
+// MaxEdits records of the active document cannot be distinguished and are left unchanged.
 func Rebase(active, stored *Document) *Document {
 	forks := forkedEdits(active, stored)
 	if len(forks) == 0 {
--- a/internal/edge/entry/updates.go
+++ b/internal/edge/entry/updates.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func (dcm document) Adopt(stored document) document {
+func (dcm document) Rebase(stored document) document {
 	return document{
 		doc: catlg.Rebase(dcm.doc, stored.doc),
 	}
--- a/internal/fleet/spread/doc.go
+++ b/internal/fleet/spread/doc.go
@@ -39,10 +39,10 @@
 	Delta(since int64) (part D)
 }
 
-// Adopter is a Doc that can identify the edits that the store accepted after it was restored to an older state.
-type Adopter[D any] interface {
-	// Adopt returns the stored document, changed so that these edits win in a merge with the receiver.
-	Adopt(stored D) (adopted D)
+// Rebaser is a Doc that can identify the edits that the store accepted after it was restored to an older state.
+type Rebaser[D any] interface {
+	// Rebase returns the stored document, changed so that these edits win in a merge with the receiver.
+	Rebase(stored D) (rebased D)
 }
 
 // Codec converts documents to and from the encoding used in the store and in messages.
--- a/internal/fleet/spread/store.go
+++ b/internal/fleet/spread/store.go
@@ -152,8 +152,8 @@
 		return false
 	}
 	cor.store.dataHash, cor.store.digest = hash, doc.Digest()
-	if adp, ok := any(cor.doc).(Adopter[D]); ok && cor.sum.Version > 0 {
-		doc = adp.Adopt(doc)
+	if rbs, ok := any(cor.doc).(Rebaser[D]); ok && cor.sum.Version > 0 {
+		doc = rbs.Rebase(doc)
 	}
 	cor.mergeDoc(doc)
 	return true
