--- a/cmd/cardamompass/demo.go
+++ b/cmd/cardamompass/demo.go
@@ -39,7 +39,7 @@
 	}
 	defer cleanup()
 	if cmd.Once {
-		return sit.Once(env.Out)
+		return sit.SmokeTest(env.Out)
 	}
 	if err := sit.WriteOverview(env.Out); err != nil {
 		return err
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -102,10 +102,10 @@
 		ColdFor:     cmd.ColdFor,
 		ColdFactor:  cmd.ColdFactor,
 		Behaviour: target.Behaviour{
-			ServiceMS:   float64(cmd.ServiceTime) / float64(time.Millisecond),
-			AnswerBytes: cmd.AnswerBytes,
-			WhenFull:    target.WhenFull(cmd.WhenFull),
-			RestartMS:   cmd.RestartAfter.Milliseconds(),
+			ServiceMS:     float64(cmd.ServiceTime) / float64(time.Millisecond),
+			ResponseBytes: cmd.AnswerBytes,
+			WhenFull:      target.WhenFull(cmd.WhenFull),
+			RestartMS:     cmd.RestartAfter.Milliseconds(),
 		},
 	})
 	if err != nil {
--- a/internal/edge/engine/engine_test.go
+++ b/internal/edge/engine/engine_test.go
@@ -196,15 +196,15 @@
 		runs       int
 	}{
 		{name: "non-idempotent, truncated response", fault: target.FaultTruncated, want: cardamompass.OutcomeUnknown, runs: 1},
-		{name: "non-idempotent, wrong response id", fault: target.FaultOtherID, want: cardamompass.OutcomeUnknown, runs: 1},
+		{name: "non-idempotent, wrong response id", fault: target.FaultWrongID, want: cardamompass.OutcomeUnknown, runs: 1},
 		{name: "idempotent, truncated response", fault: target.FaultTruncated, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
-		{name: "idempotent, wrong response id", fault: target.FaultOtherID, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
+		{name: "idempotent, wrong response id", fault: target.FaultWrongID, idempotent: true, want: cardamompass.OutcomeAnswered, runs: 3},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
 			fxt := newFixture(t, cardamompass.ClassShort, 2, 2)
 			for _, tgt := range fxt.targets {
-				tgt.FailAnswers(tst.fault, 1)
+				tgt.InjectFaults(tst.fault, 1)
 			}
 			ans, err := fxt.execute(t, "r", tst.idempotent, 5*time.Second, nil)
 			if got := engine.OutcomeOf(err); got != tst.want {
@@ -240,7 +240,7 @@
 func TestLongAnswerHoldsItsSlot(t *testing.T) {
 	fxt := newFixture(t, cardamompass.ClassLong, 1)
 	header := http.Header{
-		target.HeaderAnswerBytes: {fmt.Sprint(4 << 20)},
+		target.HeaderResponseBytes: {fmt.Sprint(4 << 20)},
 	}
 	first, err := fxt.execute(t, "first", true, 9*time.Second, header)
 	if err != nil {
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -158,7 +158,7 @@
 
 func (fxt *fixture) set(flt ptarg.Fault) {
 	for _, tgt := range fxt.targets {
-		tgt.Set(flt)
+		tgt.SetFault(flt)
 	}
 }
 
@@ -205,7 +205,7 @@
 	}{
 		{ptarg.FaultNone, 200, 1},
 		{ptarg.FaultReset, 502, 1},
-		{ptarg.FaultCut, 502, 1},
+		{ptarg.FaultTruncated, 502, 1},
 		{ptarg.FaultGarbage, 502, 1},
 		{ptarg.FaultUnframed, 200, 1},
 		{ptarg.FaultCompressed, 502, 1},
@@ -213,7 +213,7 @@
 		{ptarg.FaultFalse503, 502, 1},
 		{ptarg.FaultError, 500, 1},
 		{ptarg.FaultShed, 503, 0},
-		{ptarg.FaultSilent, 504, 1},
+		{ptarg.FaultNoResponse, 504, 1},
 	}
 	for _, tst := range tests {
 		t.Run(string(tst.fault)+" ", func(t *testing.T) {
@@ -262,7 +262,7 @@
 			fxt.set(tst.others)
 			for _, tgt := range fxt.targets {
 				if len(tgt.Runs()) > 0 {
-					tgt.Set(tst.fault) // the target of this object
+					tgt.SetFault(tst.fault) // the target of this object
 				}
 			}
 			status, _, _ = fxt.send("/read/a", "r-1")
@@ -355,7 +355,7 @@
 // Guards against callers that wait longer than their route allows.
 func TestRouteTimeout(t *testing.T) {
 	fxt := newFixture(t, 2)
-	fxt.set(ptarg.FaultSilent)
+	fxt.set(ptarg.FaultNoResponse)
 	begin := time.Now()
 	status, _, _ := fxt.send("/write/a", "r-1")
 	if ela := time.Since(begin); status != 504 || ela < 400*time.Millisecond || ela > 900*time.Millisecond {
@@ -371,7 +371,7 @@
 	}
 	for _, tgt := range fxt.targets {
 		if len(tgt.Runs()) > 0 {
-			tgt.Set(ptarg.FaultSilent)
+			tgt.SetFault(ptarg.FaultNoResponse)
 		}
 	}
 	if status, _, _ := fxt.send("/hedged/a", "r-1"); status != 200 || fxt.runs() != 3 {
@@ -387,7 +387,7 @@
 	}{{"/read/a", true}, {"/write/a", false}} {
 		t.Run(tst.path, func(t *testing.T) {
 			fxt := newFixture(t, 1)
-			fxt.set(ptarg.FaultSilent)
+			fxt.set(ptarg.FaultNoResponse)
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
@@ -422,7 +422,7 @@
 			Service: "other",
 		}})
 	}
-	fxt.targets[0].Set(ptarg.FaultReset)
+	fxt.targets[0].SetFault(ptarg.FaultReset)
 	fxt.send("/write/a", "r-1")
 	fxt.front.WaitCrashChecks()
 	if len(fxt.crashes) > 0 {
@@ -436,7 +436,7 @@
 		})
 	}
 	runs := fxt.runs()
-	fxt.targets[0].Set(ptarg.FaultNone)
+	fxt.targets[0].SetFault(ptarg.FaultNone)
 	if status, _, _ := fxt.send("/write/a", "r-1"); status != 503 || fxt.runs() != runs {
 		t.Fatalf("status %d, %d more runs", status, fxt.runs()-runs)
 	}
--- a/internal/edge/send/send_test.go
+++ b/internal/edge/send/send_test.go
@@ -150,7 +150,7 @@
 		t.Fatalf("%d requests broke on new connections", broken)
 	}
 	for _, tgt := range tgts {
-		tgt.Forget(100 * time.Millisecond)
+		tgt.DropIdle(100 * time.Millisecond)
 	}
 	time.Sleep(400 * time.Millisecond)
 	if broken := round("once", true); broken != 1 {
@@ -174,24 +174,24 @@
 		status int
 	}{
 		{ptarg.FaultReset, send.KindBroken, false, 0},
-		{ptarg.FaultCut, send.KindBroken, false, 0},
+		{ptarg.FaultTruncated, send.KindBroken, false, 0},
 		{ptarg.FaultGarbage, send.KindInvalidResponse, false, 0},
-		{ptarg.FaultTwice, "", false, 200},
+		{ptarg.FaultDuplicated, "", false, 200},
 		{ptarg.FaultUnframed, "", false, 200},
 		{ptarg.FaultError, "", false, 500},
 		{ptarg.FaultShed, send.KindShed, true, 0},
 		{ptarg.FaultFalse503, "", false, 503},
 		{ptarg.FaultCompressed, send.KindInvalidResponse, false, 0},
 		{ptarg.FaultUnsigned, send.KindInvalidResponse, false, 0},
-		{ptarg.FaultSilent, send.KindTimeout, false, 0},
+		{ptarg.FaultNoResponse, send.KindTimeout, false, 0},
 	}
 	for _, tst := range tests {
 		t.Run(string(tst.fault), func(t *testing.T) {
 			snd := newSender(t)
 			tgt, ins := newTarget(t)
-			tgt.Set(tst.fault)
+			tgt.SetFault(tst.fault)
 			msg := message("r-1")
-			if tst.fault == ptarg.FaultSilent {
+			if tst.fault == ptarg.FaultNoResponse {
 				msg.Deadline = time.Now().Add(100 * time.Millisecond)
 			}
 			rep, err := snd.Do(t.Context(), ins, msg)
@@ -208,7 +208,7 @@
 			if ran := len(tgt.Runs()) > 0; ran && fai.NotRun {
 				t.Fatal("the request ran")
 			}
-			tgt.Set(ptarg.FaultNone)
+			tgt.SetFault(ptarg.FaultNone)
 			if rep, err = snd.Do(t.Context(), ins, message("r-2")); err != nil || string(rep.Body) != ptarg.Body("r-2") {
 				t.Fatalf("next request: reply %+v, error %v", rep, err)
 			}
@@ -259,12 +259,12 @@
 func TestConnectionWithSurplusIsNotReused(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
-	tgt.Set(ptarg.FaultTwice)
+	tgt.SetFault(ptarg.FaultDuplicated)
 	if _, err := snd.Do(t.Context(), ins, message("r-1")); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(100 * time.Millisecond) // the duplicate response is sent after 20 ms
-	tgt.Set(ptarg.FaultNone)
+	tgt.SetFault(ptarg.FaultNone)
 	rep, err := snd.Do(t.Context(), ins, message("r-2"))
 	if err != nil || string(rep.Body) != ptarg.Body("r-2") || tgt.Connections() != 2 {
 		t.Fatalf("reply %q, error %v, %d connections", rep.Body, err, tgt.Connections())
@@ -306,14 +306,14 @@
 func TestEarlyAnswerToLongBody(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
-	tgt.Set(ptarg.FaultEarly)
+	tgt.SetFault(ptarg.FaultEarly)
 	msg := message("r-1")
 	msg.Body = []byte(strings.Repeat("x", 8<<20))
 	rep, err := snd.Do(t.Context(), ins, msg)
 	if err != nil || rep.Status != http.StatusBadRequest {
 		t.Fatalf("status %d, error %v", rep.Status, err)
 	}
-	tgt.Set(ptarg.FaultNone)
+	tgt.SetFault(ptarg.FaultNone)
 	if _, err = snd.Do(t.Context(), ins, message("r-2")); err != nil {
 		t.Fatal(err)
 	}
@@ -326,7 +326,7 @@
 func TestCancelClosesTheConnection(t *testing.T) {
 	snd := newSender(t)
 	tgt, ins := newTarget(t)
-	tgt.Set(ptarg.FaultSilent)
+	tgt.SetFault(ptarg.FaultNoResponse)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() {
--- a/internal/fleet/view/follow_test.go
+++ b/internal/fleet/view/follow_test.go
@@ -55,9 +55,9 @@
 		name   string
 		faults pstore.Faults
 	}{
-		{"silent", pstore.Faults{Silent: true}},
+		{"silent", pstore.Faults{NoReply: true}},
 		{"closing connections", pstore.Faults{Outage: true}},
-		{"refusing", pstore.Faults{Busy: []string{"127.0.0.1"}}},
+		{"refusing", pstore.Faults{RefusedIPs: []string{"127.0.0.1"}}},
 	}
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
@@ -65,9 +65,9 @@
 			sto, flw := follow(t)
 			sto.Put("op/config", map[string]any{"version": "00000001"})
 			waitFor(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
-			sto.Set(tst.faults)
+			sto.SetFaults(tst.faults)
 			time.Sleep(4 * time.Second) // several calls end without an answer
-			sto.Set(pstore.Faults{})
+			sto.SetFaults(pstore.Faults{})
 			sto.Put("op/evacuate/z-1", 1)
 			waitFor(t, changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
 		})
@@ -80,10 +80,10 @@
 	sto, flw := follow(t)
 	sto.Put("op/config", map[string]any{"version": "00000001"})
 	waitFor(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
-	sto.Set(pstore.Faults{Outage: true})
+	sto.SetFaults(pstore.Faults{Outage: true})
 	sto.Put("op/evacuate/z-1", 1)
 	sto.Compact()
-	sto.Set(pstore.Faults{DelayLists: changeBound})
+	sto.SetFaults(pstore.Faults{DelayLists: changeBound})
 	waitFor(t, 2*changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
 }
 
@@ -92,11 +92,11 @@
 	sto, flw := follow(t)
 	sto.Put("op/config", map[string]any{"version": "00000001"})
 	waitFor(t, changeBound, "first table", func() bool { return flw.View().Table != nil })
-	sto.Set(pstore.Faults{Outage: true})
+	sto.SetFaults(pstore.Faults{Outage: true})
 	sto.Put("op/evacuate/z-1", 1)
 	sto.Delete("op/config")
 	sto.Compact()
-	sto.Set(pstore.Faults{})
+	sto.SetFaults(pstore.Faults{})
 	waitFor(t, changeBound, "change", func() bool { return flw.View().Evacuated("z-1") })
 	if flw.View().Table == nil {
 		t.Fatal("the routing table was removed")
--- a/internal/load/bench/blocking.go
+++ b/internal/load/bench/blocking.go
@@ -53,8 +53,8 @@
 		count:   downloadTargets / 2,
 		slots:   blockingSlots,
 		bhv: target.Behaviour{
-			ServiceMS:   downloadMS,
-			AnswerBytes: downloadBytes,
+			ServiceMS:     downloadMS,
+			ResponseBytes: downloadBytes,
 		},
 	}
 	far := downloadGroup
--- a/internal/load/bench/site.go
+++ b/internal/load/bench/site.go
@@ -184,7 +184,7 @@
 		}
 		clr := clrs[rng.IntN(len(clrs))]
 		if ask.serviceMS > 0 {
-			hdr.Set(target.HeaderService, strconv.FormatFloat(ask.serviceMS*(0.5+rng.Float64()), 'f', 2, 64))
+			hdr.Set(target.HeaderServiceTime, strconv.FormatFloat(ask.serviceMS*(0.5+rng.Float64()), 'f', 2, 64))
 		}
 		rsp, err := clr.Do(ctx, caller.Request{
 			ID:         cardamompass.RequestID(ask.prefix + strconv.Itoa(num)),
--- a/internal/load/bench/storm.go
+++ b/internal/load/bench/storm.go
@@ -184,7 +184,7 @@
 		Outage: true,
 	})
 	for _, vid := range stormVictims {
-		sit.EndVM(vid)
+		sit.KillVM(vid)
 	}
 	for _, tgt := range sit.regionTargets(gulf) {
 		tgt.Crash()
--- a/internal/proof/answers_test.go
+++ b/internal/proof/answers_test.go
@@ -31,7 +31,7 @@
 // answerFaults are the faults that a request can ask its targets for; none for most requests.
 var answerFaults = []target.Fault{
 	"", "", "", "", "", "",
-	target.FaultLate, target.FaultOtherID, target.FaultNoID, target.FaultTruncated, target.FaultDoubled, target.FaultTooLong,
+	target.FaultLate, target.FaultWrongID, target.FaultNoID, target.FaultTruncated, target.FaultDuplicated, target.FaultTooLong,
 }
 
 // tally counts what callers saw.
@@ -78,7 +78,7 @@
 func TestShortAnswers(tst *testing.T) {
 	seed := newSeed(tst)
 	cfg := site(tst, places)
-	cfg.TargetProxies, cfg.Undivided = true, true
+	cfg.TargetProxies, cfg.SkipAwaitShares = true, true
 	sit := procs.ForTest(tst, cfg)
 	for _, tgt := range sit.Targets {
 		must(tst, tgt.SetBehaviour(map[string]any{
@@ -140,7 +140,7 @@
 func TestLongAnswers(tst *testing.T) {
 	seed := newSeed(tst)
 	cfg := site(tst, places)
-	cfg.TargetProxies, cfg.Undivided = true, true
+	cfg.TargetProxies, cfg.SkipAwaitShares = true, true
 	sit := procs.ForTest(tst, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	var (
@@ -186,7 +186,7 @@
 		Address: "127.0.0.1:0",
 		Slots:   1,
 		Behaviour: target.Behaviour{
-			AnswerBytes: shortBytes,
+			ResponseBytes: shortBytes,
 		},
 	})
 	must(tst, err)
@@ -194,7 +194,7 @@
 	con, err := net.Dial("tcp", tgt.Address())
 	must(tst, err)
 	defer func() { _ = con.Close() }()
-	tgt.FailAnswers(target.FaultDoubled, 1)
+	tgt.InjectFaults(target.FaultDuplicated, 1)
 	rdr := bufio.NewReader(con)
 	var last error
 	for _, id := range []string{"one", "two"} {
--- a/internal/proof/chaos_test.go
+++ b/internal/proof/chaos_test.go
@@ -158,9 +158,9 @@
 	default:
 		name = "target answers faulty"
 		faults := []target.Fault{
-			target.FaultLate, target.FaultOtherID, target.FaultNoID, target.FaultTruncated, target.FaultDoubled, target.FaultTooLong,
+			target.FaultLate, target.FaultWrongID, target.FaultNoID, target.FaultTruncated, target.FaultDuplicated, target.FaultTooLong,
 		}
-		if err = tgt.FailAnswers(faults[rnd.IntN(len(faults))], 1+rnd.IntN(5)); err != nil {
+		if err = tgt.InjectFaults(faults[rnd.IntN(len(faults))], 1+rnd.IntN(5)); err != nil {
 			return name, err
 		}
 	}
--- a/internal/proof/edit_test.go
+++ b/internal/proof/edit_test.go
@@ -217,8 +217,8 @@
 	const rounds = 4
 	rnd := stream(newSeed(tst), 0)
 	cfg := site(tst, append([]procs.Place{place("delta", "b", 9)}, sevenPlaces...))
-	cfg.Later = []cardamompass.VMID{"delta-b-9"}
-	cfg.StoreProxies, cfg.Undivided = true, true
+	cfg.NotStarted = []cardamompass.VMID{"delta-b-9"}
+	cfg.StoreProxies, cfg.SkipAwaitShares = true, true
 	sit := procs.ForTest(tst, cfg)
 	eds := &edits{
 		sit: sit,
--- a/internal/proof/limit/caps_test.go
+++ b/internal/proof/limit/caps_test.go
@@ -100,8 +100,8 @@
 		Callers: 12,
 		Timeout: 20 * time.Second,
 		Header: map[string]string{
-			target.HeaderAnswerBytes: "4194304",
-			target.HeaderService:     "5",
+			target.HeaderResponseBytes: "4194304",
+			target.HeaderServiceTime:   "5",
 		},
 		Random: rnd,
 	})
--- a/internal/proof/limit/crash_test.go
+++ b/internal/proof/limit/crash_test.go
@@ -103,7 +103,7 @@
 		Callers: 14,
 		Timeout: 4 * time.Second,
 		Header: map[string]string{
-			target.HeaderService: "60",
+			target.HeaderServiceTime: "60",
 		},
 		Pause:  20 * time.Millisecond,
 		Random: rnd,
--- a/internal/proof/limit/region_test.go
+++ b/internal/proof/limit/region_test.go
@@ -48,7 +48,7 @@
 		Callers: 80,
 		Timeout: busyTimeout,
 		Header: map[string]string{
-			target.HeaderService: strconv.FormatInt(busyTime.Milliseconds(), 10),
+			target.HeaderServiceTime: strconv.FormatInt(busyTime.Milliseconds(), 10),
 		},
 		Random: rnd,
 	})
@@ -297,7 +297,7 @@
 		Callers: 150,
 		Timeout: 4500 * time.Millisecond,
 		Header: map[string]string{
-			target.HeaderService: "2500",
+			target.HeaderServiceTime: "2500",
 		},
 		Random: rnd,
 	})
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -102,7 +102,7 @@
 
 // undivided returns cfg for a test that ends no entry VM, and so need not wait until the caps are divided.
 func undivided(cfg procs.Config) procs.Config {
-	cfg.Undivided = true
+	cfg.SkipAwaitShares = true
 	return cfg
 }
 
--- a/internal/proof/refusal_test.go
+++ b/internal/proof/refusal_test.go
@@ -15,8 +15,8 @@
 // not run, though an earlier sending of it ran at its home.
 func TestRefusalWithoutCatalogue(tst *testing.T) {
 	cfg := site(tst, []procs.Place{place("gulf", "a", 1), place("gulf", "b", 1)})
-	cfg.Later = []cardamompass.VMID{"gulf-b-1"}
-	cfg.StoreProxies, cfg.PeerProxies, cfg.Undivided = true, true, true
+	cfg.NotStarted = []cardamompass.VMID{"gulf-b-1"}
+	cfg.StoreProxies, cfg.PeerProxies, cfg.SkipAwaitShares = true, true, true
 	sit := procs.ForTest(tst, cfg)
 	clr, stop := sit.Caller("gulf", sit.VM("gulf-a-1"))
 	defer stop()
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -73,11 +73,11 @@
 func newSoak(t *testing.T, seed uint64) (sok *soak) {
 	t.Helper()
 	flt, stop, err := pfleet.New(pfleet.Config{
-		Dir:     t.TempDir(),
-		VMs:     *vmsFlag,
-		Targets: targets,
-		Slots:   slots,
-		Work:    30 * time.Millisecond,
+		Dir:         t.TempDir(),
+		VMs:         *vmsFlag,
+		Targets:     targets,
+		Slots:       slots,
+		ServiceTime: 30 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -152,10 +152,10 @@
 		sok.note("reload %s: %v", vmc.Name(), vmc.Reload())
 	case 6:
 		flt := sok.storeFaults()
-		sok.Store.Set(flt)
+		sok.Store.SetFaults(flt)
 		sok.note("store %+v", flt)
 	case 7:
-		sok.Store.Set(pstore.Faults{})
+		sok.Store.SetFaults(pstore.Faults{})
 		sok.Store.Compact()
 		sok.note("store healed, history discarded")
 	case 8:
@@ -164,10 +164,10 @@
 		sok.link(tgt.Proxy, tgt.ID)
 	case 11:
 		flt := []ptarg.Fault{
-			ptarg.FaultNone, ptarg.FaultReset, ptarg.FaultCut, ptarg.FaultGarbage, ptarg.FaultTwice, ptarg.FaultUnframed, ptarg.FaultError,
-			ptarg.FaultShed, ptarg.FaultFalse503, ptarg.FaultSilent,
+			ptarg.FaultNone, ptarg.FaultReset, ptarg.FaultTruncated, ptarg.FaultGarbage, ptarg.FaultDuplicated, ptarg.FaultUnframed, ptarg.FaultError,
+			ptarg.FaultShed, ptarg.FaultFalse503, ptarg.FaultNoResponse,
 		}[sok.rng.IntN(10)]
-		tgt.Set(flt)
+		tgt.SetFault(flt)
 		sok.note("target %s %q", tgt.ID, flt)
 	case 12:
 		sok.configure()
@@ -180,10 +180,10 @@
 func (sok *soak) storeFaults() (flt pstore.Faults) {
 	return []pstore.Faults{
 		{Outage: true},
-		{Silent: true},
-		{LoseWrites: true},
+		{NoReply: true},
+		{LoseWriteReplies: true},
 		{Delay: 300 * time.Millisecond},
-		{Busy: []string{"127.0.0.1"}},
+		{RefusedIPs: []string{"127.0.0.1"}},
 	}[sok.rng.IntN(5)]
 }
 
@@ -227,9 +227,9 @@
 // heal lifts all faults and starts all VMs.
 func (sok *soak) heal() {
 	sok.note("everything healed")
-	sok.Store.Set(pstore.Faults{})
+	sok.Store.SetFaults(pstore.Faults{})
 	for _, tgt := range sok.Targets {
-		tgt.Set(ptarg.FaultNone)
+		tgt.SetFault(ptarg.FaultNone)
 		sok.lift(tgt.Proxy)
 	}
 	for _, vmc := range sok.VMs {
@@ -273,7 +273,7 @@
 }
 
 func (sok *soak) check() {
-	sent := sok.callers.Sent()
+	sent := sok.callers.Results()
 	found := pfleet.Violations(sent, sok.Targets)
 	for tgt, since := range sok.left {
 		// Faults of the store and of VMs stretch the bound; after the recovery time nothing excuses work for it.
--- a/internal/proof/users/users_test.go
+++ b/internal/proof/users/users_test.go
@@ -43,11 +43,11 @@
 func newSite(t *testing.T, vms, targets int) (sit *site) {
 	t.Helper()
 	flt, stop, err := pfleet.New(pfleet.Config{
-		Dir:     t.TempDir(),
-		VMs:     vms,
-		Targets: targets,
-		Slots:   6,
-		Work:    20 * time.Millisecond,
+		Dir:         t.TempDir(),
+		VMs:         vms,
+		Targets:     targets,
+		Slots:       6,
+		ServiceTime: 20 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 // check fails the test for each broken promise and returns the counts by status, 0 for no answer.
 func (sit *site) check() (count map[int]int) {
 	sit.t.Helper()
-	sent := sit.callers.Sent()
+	sent := sit.callers.Results()
 	for _, text := range pfleet.Violations(sent, sit.Targets) {
 		sit.t.Error(text)
 	}
@@ -194,7 +194,7 @@
 	}
 	stop()
 	sit.check()
-	for _, snt := range pfleet.Cut(sit.callers.Sent()) {
+	for _, snt := range pfleet.Unanswered(sit.callers.Results()) {
 		t.Errorf("cut: %+v", snt)
 	}
 }
@@ -203,15 +203,15 @@
 func TestStoreAway(t *testing.T) {
 	for name, flt := range map[string]pstore.Faults{
 		"closed": {Outage: true},
-		"silent": {Silent: true},
-		"lossy":  {LoseWrites: true},
+		"silent": {NoReply: true},
+		"lossy":  {LoseWriteReplies: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sit := newSite(t, 3, 6)
 			stop := sit.load()
 			time.Sleep(time.Second)
-			sit.Store.Set(flt)
+			sit.Store.SetFaults(flt)
 			if err := sit.VMs[0].Kill(); err != nil {
 				t.Fatal(err)
 			}
@@ -225,7 +225,7 @@
 			if snt := sit.callers.SendTo(t.Context(), sit.VMs[0].CallerAddress(), "/write/a", false); snt.Status != 200 && snt.Status != 503 {
 				t.Errorf("a VM that has just started: %+v", snt)
 			}
-			sit.Store.Set(pstore.Faults{})
+			sit.Store.SetFaults(pstore.Faults{})
 			sit.awaitReady(sit.VMs[0])
 			stop()
 			if count := sit.check(); count[404] > 0 {
@@ -274,7 +274,7 @@
 	time.Sleep(pfleet.DrainBound + 2*time.Second)
 	stop()
 	for _, tgt := range []*pfleet.Target{said, ended} {
-		if count := pfleet.RunsAfter(sit.callers.Sent(), tgt, begin.Add(pfleet.DrainBound)); count > 0 {
+		if count := pfleet.RunsAfter(sit.callers.Results(), tgt, begin.Add(pfleet.DrainBound)); count > 0 {
 			t.Errorf("%s ran %d requests after the bound", tgt.ID, count)
 		}
 	}
@@ -300,12 +300,12 @@
 	sit := newSite(t, 2, 4)
 	stop := sit.load()
 	time.Sleep(time.Second)
-	sit.Store.Set(pstore.Faults{Outage: true})
+	sit.Store.SetFaults(pstore.Faults{Outage: true})
 	for _, tgt := range sit.Targets {
 		sit.Store.Delete("servers/" + tgt.ID)
 	}
 	time.Sleep(3 * time.Second)
-	sit.Store.Set(pstore.Faults{})
+	sit.Store.SetFaults(pstore.Faults{})
 	time.Sleep(time.Second)
 	for _, tgt := range sit.Targets {
 		sit.Register(tgt, "ready")
@@ -347,10 +347,10 @@
 func TestFaultyTargets(t *testing.T) {
 	sit := newSite(t, 3, 9)
 	for num, flt := range []ptarg.Fault{
-		ptarg.FaultReset, ptarg.FaultCut, ptarg.FaultGarbage, ptarg.FaultTwice, ptarg.FaultUnframed, ptarg.FaultError, ptarg.FaultShed,
+		ptarg.FaultReset, ptarg.FaultTruncated, ptarg.FaultGarbage, ptarg.FaultDuplicated, ptarg.FaultUnframed, ptarg.FaultError, ptarg.FaultShed,
 		ptarg.FaultFalse503,
 	} {
-		sit.Targets[num].Set(flt)
+		sit.Targets[num].SetFault(flt)
 	}
 	stop := sit.load()
 	time.Sleep(4 * time.Second)
--- a/internal/stand/demo/demo.go
+++ b/internal/stand/demo/demo.go
@@ -218,8 +218,8 @@
 	return nil
 }
 
-// EndVM ends an entry VM at once, without a planned stop. The site still lists it in VMs.
-func (sit *Site) EndVM(vid cardamompass.VMID) {
+// KillVM ends an entry VM at once, without a planned stop. The site still lists it in VMs.
+func (sit *Site) KillVM(vid cardamompass.VMID) {
 	if end := sit.ends[vid]; end != nil {
 		end()
 	}
--- a/internal/stand/demo/magnolia.go
+++ b/internal/stand/demo/magnolia.go
@@ -42,13 +42,13 @@
 		Behaviour: func(tgt cardamompass.Target) target.Behaviour {
 			if tgt.Service == Long {
 				return target.Behaviour{
-					ServiceMS:   50,
-					AnswerBytes: 4 << 20,
+					ServiceMS:     50,
+					ResponseBytes: 4 << 20,
 				}
 			}
 			return target.Behaviour{
-				ServiceMS:   5,
-				AnswerBytes: 512,
+				ServiceMS:     5,
+				ResponseBytes: 512,
 			}
 		},
 	}
--- a/internal/stand/demo/once.go
+++ b/internal/stand/demo/once.go
@@ -24,9 +24,9 @@
 	pollTime = 2 * time.Millisecond
 )
 
-// Once sends requests of each kind, edits the catalogue and drains a target through the real path. It prints one line for each
-// and returns an error if one did not come out right.
-func (sit *Site) Once(out io.Writer) (err error) {
+// SmokeTest sends requests of each kind, edits the catalogue and drains a target through the whole system. It prints one line
+// for each and returns an error if one had an unexpected result.
+func (sit *Site) SmokeTest(out io.Writer) (err error) {
 	clr, stop := sit.Caller("gulf")
 	defer stop()
 	failed := 0
--- a/internal/stand/kvsrv/state.go
+++ b/internal/stand/kvsrv/state.go
@@ -19,8 +19,8 @@
 
 // Lease is a stored lease.
 type Lease struct {
-	TTL time.Duration `json:"ttl-ns"`
-	End time.Time     `json:"end"`
+	TTL       time.Duration `json:"ttl-ns"`
+	ExpiresAt time.Time     `json:"end"`
 }
 
 // Snapshot is the whole state of the store at one moment. It is immutable.
@@ -104,7 +104,7 @@
 // live returns the answer for lease id, status 404 if it has lapsed.
 func (sta *state) live(id cardamompass.LeaseID, now time.Time) reply {
 	lse, ok := sta.Leases[id]
-	if !ok || !now.Before(lse.End) {
+	if !ok || !now.Before(lse.ExpiresAt) {
 		return failed(http.StatusNotFound, "not-found", "no such live lease")
 	}
 	return reply{
@@ -112,15 +112,15 @@
 		body: map[string]any{
 			"id":           id,
 			"ttl-ms":       lse.TTL.Milliseconds(),
-			"remaining-ms": lse.End.Sub(now).Milliseconds(),
+			"remaining-ms": lse.ExpiresAt.Sub(now).Milliseconds(),
 		},
 	}
 }
 
 func (sta *state) grant(id cardamompass.LeaseID, ttl time.Duration, now time.Time) reply {
 	sta.Leases[id] = Lease{
-		TTL: ttl,
-		End: now.Add(ttl),
+		TTL:       ttl,
+		ExpiresAt: now.Add(ttl),
 	}
 	return sta.live(id, now)
 }
--- a/internal/stand/pfleet/caller.go
+++ b/internal/stand/pfleet/caller.go
@@ -17,8 +17,8 @@
 	"cardamompass/internal/stand/ptarg"
 )
 
-// Sent is one sending of a request by a caller and what came of it.
-type Sent struct {
+// Result is one attempt of a caller to send a request, with its outcome.
+type Result struct {
 	ID         string
 	Path       string
 	VM         string
@@ -41,7 +41,7 @@
 	next   atomic.Int64
 
 	mu   sync.Mutex
-	sent []Sent
+	sent []Result
 	vms  []string // the last answer to a look-up
 }
 
@@ -101,7 +101,7 @@
 }
 
 // Send sends one request to a VM that the last look-up named.
-func (cls *Callers) Send(ctx context.Context, path string, idempotent bool) (snt Sent) {
+func (cls *Callers) Send(ctx context.Context, path string, idempotent bool) (snt Result) {
 	cls.mu.Lock()
 	address := ""
 	if len(cls.vms) > 0 {
@@ -112,9 +112,9 @@
 }
 
 // SendTo sends one request to an address.
-func (cls *Callers) SendTo(ctx context.Context, address, path string, idempotent bool) (snt Sent) {
+func (cls *Callers) SendTo(ctx context.Context, address, path string, idempotent bool) (snt Result) {
 	id := fmt.Sprintf("c-%08d", cls.next.Add(1))
-	snt = Sent{
+	snt = Result{
 		ID:         id,
 		Path:       path,
 		VM:         address,
@@ -184,8 +184,8 @@
 	under.Wait()
 }
 
-// Sent returns what was sent.
-func (cls *Callers) Sent() (sent []Sent) {
+// Results returns the results of all requests so far.
+func (cls *Callers) Results() (sent []Result) {
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
 	return append(sent, cls.sent...)
--- a/internal/stand/pfleet/check.go
+++ b/internal/stand/pfleet/check.go
@@ -9,8 +9,8 @@
 
 // Violations returns what broke a promise to callers or targets, from what both saw: work that ran twice, refusals of work that ran,
 // answers that are not whole or not the caller's own, requests that changed on their way, and more repeats than allowed.
-func Violations(sent []Sent, targets []*Target) (found []string) {
-	bySent := make(map[string]Sent, len(sent))
+func Violations(sent []Result, targets []*Target) (found []string) {
+	bySent := make(map[string]Result, len(sent))
 	for _, snt := range sent {
 		bySent[snt.ID] = snt
 		if snt.Status == http.StatusOK && !snt.Whole {
@@ -55,7 +55,7 @@
 }
 
 // tooManyRepeats checks the bound on repeats in every window of ten seconds.
-func tooManyRepeats(sent []Sent, repeats []time.Time) (found []string) {
+func tooManyRepeats(sent []Result, repeats []time.Time) (found []string) {
 	const window = 10 * time.Second
 	slices.SortFunc(repeats, time.Time.Compare)
 	for num, begin := range repeats {
@@ -70,7 +70,7 @@
 				requests++
 			}
 		}
-		if float64(count) > RepeatRatio*float64(requests)+RepeatSlack {
+		if float64(count) > RetryRatio*float64(requests)+RetrySlack {
 			return []string{fmt.Sprintf("%d repeats within 10 s of %v, with %d requests", count, begin, requests)}
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // RunsAfter returns the runs at a target of requests that were sent later than a moment.
-func RunsAfter(sent []Sent, tgt *Target, moment time.Time) (count int) {
+func RunsAfter(sent []Result, tgt *Target, moment time.Time) (count int) {
 	late := make(map[string]bool)
 	for _, snt := range sent {
 		late[snt.ID] = snt.At.After(moment)
@@ -91,8 +91,8 @@
 	return count
 }
 
-// Cut returns the requests that were written whole and have no answer.
-func Cut(sent []Sent) (cut []Sent) {
+// Unanswered returns the requests that were written whole and have no answer.
+func Unanswered(sent []Result) (cut []Result) {
 	for _, snt := range sent {
 		if snt.Err != nil && snt.Written {
 			cut = append(cut, snt)
--- a/internal/stand/pfleet/pfleet.go
+++ b/internal/stand/pfleet/pfleet.go
@@ -32,8 +32,8 @@
 	DrainBound  = 2 * time.Second
 	ConfigBound = 2 * time.Second
 	GraceTime   = 6 * time.Second
-	RepeatRatio = 0.2
-	RepeatSlack = 56
+	RetryRatio  = 0.2
+	RetrySlack  = 56
 )
 
 // zones are the failure domains; each name starts with its region.
@@ -47,8 +47,8 @@
 	VMs     int
 	Targets int
 	// Slots and Work describe the targets.
-	Slots int
-	Work  time.Duration
+	Slots       int
+	ServiceTime time.Duration
 }
 
 // VM is an entry VM process.
@@ -140,10 +140,10 @@
 	flt.next++
 	id := fmt.Sprintf("i-%03d", flt.next)
 	inner, stop, err := ptarg.New(ptarg.Config{
-		ID:      id,
-		Address: "127.0.0.1:0",
-		Slots:   flt.cfg.Slots,
-		Work:    flt.cfg.Work,
+		ID:          id,
+		Address:     "127.0.0.1:0",
+		Slots:       flt.cfg.Slots,
+		ServiceTime: flt.cfg.ServiceTime,
 	})
 	if err != nil {
 		return nil, err
@@ -240,7 +240,7 @@
 	fmt.Fprintf(&text, "node = \"vm-%d\"\nzone = %q\nregion = %q\nip = %q\ninternalPortRange = [7720,7735]\n",
 		num, zone, strings.Split(zone, "-")[0], ip)
 	fmt.Fprintf(&text, "bounds = [\"graceS=%g\",\"budgetRatio=%g\",\"budgetWindowS=10\",\"budgetSlack=%d\",\"coldOverage=1.5\",\"coldSlack=5\",\"ttl_max_s=5\",\"maxRegionShift=0.15\"]\n",
-		GraceTime.Seconds(), RepeatRatio, RepeatSlack)
+		GraceTime.Seconds(), RetryRatio, RetrySlack)
 	text.WriteString("[zones]\n")
 	for _, dom := range zones {
 		fmt.Fprintf(&text, "%s = %q\n", dom, strings.Split(dom, "-")[0])
--- a/internal/stand/procs/control.go
+++ b/internal/stand/procs/control.go
@@ -88,8 +88,8 @@
 	}, nil)
 }
 
-// FailAnswers makes the next answers of the target faulty.
-func (tgt *Target) FailAnswers(flt target.Fault, times int) (err error) {
+// InjectFaults makes the next answers of the target faulty.
+func (tgt *Target) InjectFaults(flt target.Fault, times int) (err error) {
 	return Control(tgt.ControlAddress, http.MethodPost, "/control/answer-faults", map[string]any{
 		"fault": flt,
 		"times": times,
--- a/internal/stand/procs/procs_test.go
+++ b/internal/stand/procs/procs_test.go
@@ -25,7 +25,7 @@
 			{ID: "two", Region: "gulf", FailureDomain: "b"},
 			{ID: "late", Region: "delta", FailureDomain: "a"},
 		},
-		Later:         []cardamompass.VMID{"late"},
+		NotStarted:    []cardamompass.VMID{"late"},
 		Document:      sml.Document,
 		Targets:       sml.Targets[:2],
 		StoreProxies:  true,
--- a/internal/stand/procs/site.go
+++ b/internal/stand/procs/site.go
@@ -39,9 +39,9 @@
 type Config struct {
 	// Dir takes the settings files and the logs.
 	Dir string
-	// VMs are the entry VMs. Those named in Later are prepared and not started.
-	VMs   []Place
-	Later []cardamompass.VMID
+	// VMs are the entry VMs. Those named in NotStarted are prepared but not started.
+	VMs        []Place
+	NotStarted []cardamompass.VMID
 	// Document is the catalogue without targets.
 	Document *catlg.Document
 	// Targets are the targets; their addresses are filled in.
@@ -55,8 +55,8 @@
 	StoreProxies  bool
 	PeerProxies   bool
 	TargetProxies bool
-	// Undivided lets New return before the caps are divided among the entry VMs, see AwaitDivided.
-	Undivided bool
+	// SkipAwaitShares lets New return before the caps are divided among the entry VMs, see AwaitShares.
+	SkipAwaitShares bool
 }
 
 // Store is the store's process. Address is its own, before any proxy.
@@ -88,7 +88,7 @@
 // Site is a running site.
 type Site struct {
 	Store   *Store
-	List    *Process
+	VMList  *Process
 	Targets map[cardamompass.TargetID]*Target
 	VMs     []*VM
 	// Editor edits the catalogue in the store, past all proxies.
@@ -109,8 +109,8 @@
 		cfg:     cfg,
 	}
 	steps := []func() error{sit.startPlatform, sit.startTargets, sit.startVMs, sit.AwaitReady}
-	if !cfg.Undivided {
-		steps = append(steps, sit.AwaitDivided)
+	if !cfg.SkipAwaitShares {
+		steps = append(steps, sit.AwaitShares)
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -188,10 +188,10 @@
 		Process: prc,
 		Address: address,
 	}
-	if sit.List, err = sit.start("vm-list", "standin", "vms"); err != nil {
+	if sit.VMList, err = sit.start("vm-list", "standin", "vms"); err != nil {
 		return err
 	}
-	if sit.listAt, err = sit.List.Value("address"); err != nil {
+	if sit.listAt, err = sit.VMList.Value("address"); err != nil {
 		return err
 	}
 	if _, err = prc.Value("address"); err != nil {
--- a/internal/stand/procs/start.go
+++ b/internal/stand/procs/start.go
@@ -85,7 +85,7 @@
 			return err
 		}
 		sit.onCleanup(vmp.close)
-		if slices.Contains(sit.cfg.Later, vmp.Place.ID) {
+		if slices.Contains(sit.cfg.NotStarted, vmp.Place.ID) {
 			continue
 		}
 		if err = vmp.Start(); err != nil {
@@ -197,10 +197,10 @@
 // is a quarter of the largest, and half of a part is enough.
 const divided = 8
 
-// AwaitDivided waits until every entry VM that runs owns at least an eighth of an equal part of each cap. The first VM of a new
+// AwaitShares waits until every entry VM that runs owns at least an eighth of an equal part of each cap. The first VM of a new
 // site owns all of them until its next visits of the ledgers; if it is killed before, nobody owns them while its lease
 // lives.
-func (sit *Site) AwaitDivided() (err error) { return Await(readyTime, sit.undivided) }
+func (sit *Site) AwaitShares() (err error) { return Await(readyTime, sit.undivided) }
 
 func (sit *Site) undivided() (missing string) {
 	var states []entry.State
--- a/internal/stand/pstore/pstore.go
+++ b/internal/stand/pstore/pstore.go
@@ -26,12 +26,12 @@
 type Faults struct {
 	// Outage closes each connection without an answer, those of waiting watches included.
 	Outage bool
-	// Silent lets calls wait without an answer until the fault ends.
-	Silent bool
-	// Busy answers 503 to callers with these IP numbers.
-	Busy []string
-	// LoseWrites carries out writes and closes the connection without an answer.
-	LoseWrites bool
+	// NoReply lets calls wait without an answer until the fault ends.
+	NoReply bool
+	// RefusedIPs answers 503 to callers with these IP numbers.
+	RefusedIPs []string
+	// LoseWriteReplies carries out writes and closes the connection without an answer.
+	LoseWriteReplies bool
 	// Delay is the time before a call is carried out, DelayLists the one before a range is answered.
 	Delay      time.Duration
 	DelayLists time.Duration
@@ -100,8 +100,8 @@
 // Address returns host:port of the store.
 func (sto *Store) Address() (address string) { return sto.address }
 
-// Set changes the faults in force. An outage ends waiting watches.
-func (sto *Store) Set(flt Faults) {
+// SetFaults changes the faults in force. An outage ends waiting watches.
+func (sto *Store) SetFaults(flt Faults) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
 	sto.faults = flt
@@ -215,10 +215,10 @@
 		switch {
 		case flt.Outage:
 			ctrl.Abort()
-		case flt.Silent:
+		case flt.NoReply:
 			<-req.Context().Done()
 			ctrl.Abort()
-		case slices.Contains(flt.Busy, host):
+		case slices.Contains(flt.RefusedIPs, host):
 			wrt.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -226,7 +226,7 @@
 		if req.URL.Path == "/v1/kv-range" {
 			time.Sleep(flt.DelayLists)
 		}
-		if flt.LoseWrites && req.Method != http.MethodGet {
+		if flt.LoseWriteReplies && req.Method != http.MethodGet {
 			next.ServeHTTP(discard{}, req)
 			ctrl.Abort()
 		}
--- a/internal/stand/ptarg/ptarg.go
+++ b/internal/stand/ptarg/ptarg.go
@@ -26,12 +26,12 @@
 	FaultNone Fault = ""
 	// FaultReset runs the request and resets the connection.
 	FaultReset Fault = "reset"
-	// FaultCut ends the connection in the middle of the body.
-	FaultCut Fault = "cut"
+	// FaultTruncated ends the connection in the middle of the body.
+	FaultTruncated Fault = "cut"
 	// FaultGarbage sends bytes that are no answer.
 	FaultGarbage Fault = "garbage"
-	// FaultTwice sends the answer a second time a little later.
-	FaultTwice Fault = "twice"
+	// FaultDuplicated sends the answer a second time a little later.
+	FaultDuplicated Fault = "twice"
 	// FaultUnframed sends an answer without a length that ends with the connection.
 	FaultUnframed Fault = "unframed"
 	// FaultError answers 500.
@@ -46,8 +46,8 @@
 	FaultUnsigned Fault = "unsigned"
 	// FaultEarly answers before the body of the request is read.
 	FaultEarly Fault = "early"
-	// FaultSilent runs the request and never answers.
-	FaultSilent Fault = "silent"
+	// FaultNoResponse runs the request and never answers.
+	FaultNoResponse Fault = "silent"
 )
 
 // Config configures a Target.
@@ -58,8 +58,8 @@
 	Address string
 	// Slots is the number of requests that it runs at a time.
 	Slots int
-	// Work is how long a request runs.
-	Work time.Duration
+	// ServiceTime is how long a request runs.
+	ServiceTime time.Duration
 }
 
 // Run is one request that a target began to work on.
@@ -110,21 +110,22 @@
 // Address returns host:port of the target.
 func (tgt *Target) Address() (address string) { return tgt.address }
 
-// Set changes the fault of coming answers.
-func (tgt *Target) Set(flt Fault) {
+// SetFault changes the fault of coming answers.
+func (tgt *Target) SetFault(flt Fault) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
 	tgt.fault = flt
 }
 
-// Forget makes the target forget connections that are idle for longer than rest: what is sent next on them is reset. 0 ends that.
-func (tgt *Target) Forget(rest time.Duration) {
+// DropIdle makes the target reset connections that were idle for longer than rest when the next byte arrives on them, like a target
+// that has lost their state. 0 turns this off.
+func (tgt *Target) DropIdle(rest time.Duration) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
 	tgt.rest = rest
 }
 
-// connState counts new connections and resets those that the target has forgotten at their next byte.
+// connState counts new connections and resets those that DropIdle covers at their next byte.
 func (tgt *Target) connState(con net.Conn, sta http.ConnState) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
@@ -215,7 +216,7 @@
 	})
 	tgt.mu.Unlock()
 	select {
-	case <-time.After(tgt.cfg.Work):
+	case <-time.After(tgt.cfg.ServiceTime):
 	case <-req.Context().Done():
 		return
 	}
@@ -232,11 +233,11 @@
 	switch flt {
 	case FaultReset:
 		panic(http.ErrAbortHandler)
-	case FaultCut:
+	case FaultTruncated:
 		tgt.raw(wrt, full[:len(full)-5], false)
 	case FaultGarbage:
 		tgt.raw(wrt, "\x00\x01 these bytes are no answer\r\n\r\n", false)
-	case FaultTwice:
+	case FaultDuplicated:
 		tgt.raw(wrt, full, true)
 	case FaultUnframed:
 		tgt.raw(wrt, "HTTP/1.1 200 OK\r\n"+head+"Connection: close\r\n\r\n"+body, false)
@@ -244,7 +245,7 @@
 		tgt.raw(wrt, "HTTP/1.1 200 OK\r\n"+head+"Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx", false)
 	case FaultUnsigned:
 		tgt.raw(wrt, "HTTP/1.1 200 OK\r\nRequest-Id: "+id+"\r\nContent-Length: 1\r\n\r\nx", false)
-	case FaultSilent:
+	case FaultNoResponse:
 		<-req.Context().Done()
 	case FaultNone, FaultError, FaultFalse503, FaultShed, FaultEarly:
 		wrt.Header().Set("Response-Seal", "seal-"+id)
--- a/internal/stand/target/answer.go
+++ b/internal/stand/target/answer.go
@@ -19,14 +19,14 @@
 const (
 	// FaultLate delays the answer by LateMS of the behaviour, with the slot already free and the deadline ignored.
 	FaultLate Fault = "late"
-	// FaultOtherID echoes the id of another request.
-	FaultOtherID Fault = "other-id"
+	// FaultWrongID echoes the id of another request.
+	FaultWrongID Fault = "other-id"
 	// FaultNoID echoes no id.
 	FaultNoID Fault = "no-id"
 	// FaultTruncated declares the whole length, sends half of the body and closes the connection.
 	FaultTruncated Fault = "truncated"
-	// FaultDoubled sends the answer twice on the connection.
-	FaultDoubled Fault = "doubled"
+	// FaultDuplicated sends the answer twice on the connection.
+	FaultDuplicated Fault = "doubled"
 	// FaultTooLong sends more bytes than declared.
 	FaultTooLong Fault = "too-long"
 )
@@ -34,7 +34,7 @@
 // surplus is what FaultTooLong appends to the body.
 const surplus = "surplus bytes after the declared end"
 
-// lingerTime is how long a connection stays open, unserved, after FaultDoubled and FaultTooLong, so that a client that
+// lingerTime is how long a connection stays open, unserved, after FaultDuplicated and FaultTooLong, so that a client that
 // wrongly uses it again reads the surplus.
 const lingerTime = 5 * time.Second
 
@@ -58,7 +58,7 @@
 	switch flt {
 	case FaultLate:
 		// The answer is whole; only its delay was faulty.
-	case FaultOtherID:
+	case FaultWrongID:
 		hdr.Set(cardamompass.HeaderRequestID, tgt.otherID(jbb.rid))
 	case FaultNoID:
 		hdr.Del(cardamompass.HeaderRequestID)
@@ -66,7 +66,7 @@
 		rsw = &truncWriter{
 			ResponseWriter: rsw,
 		}
-	case FaultDoubled, FaultTooLong:
+	case FaultDuplicated, FaultTooLong:
 		tgt.hijack(rsw, jbb, flt, free)
 		return
 	}
@@ -133,7 +133,7 @@
 	defer func() { _ = con.Close() }()
 	bdy := Content(jbb.key, jbb.siz)
 	writeRaw(brw.Writer, rsw.Header(), bdy)
-	if flt == FaultDoubled {
+	if flt == FaultDuplicated {
 		writeRaw(brw.Writer, rsw.Header(), bdy)
 	} else {
 		_, _ = brw.WriteString(surplus)
--- a/internal/stand/target/control.go
+++ b/internal/stand/target/control.go
@@ -86,7 +86,7 @@
 			Times int   `json:"times"`
 		}
 		if ctrl.ReadJSON(rsw, req, &bdy) {
-			tgt.FailAnswers(bdy.Fault, bdy.Times)
+			tgt.InjectFaults(bdy.Fault, bdy.Times)
 			ctrl.WriteJSON(rsw, http.StatusOK, bdy)
 		}
 	}).Methods(http.MethodPost)
--- a/internal/stand/target/target.go
+++ b/internal/stand/target/target.go
@@ -19,10 +19,10 @@
 
 // Headers by which one request asks for a behaviour.
 const (
-	// HeaderService sets the service time in milliseconds.
-	HeaderService = "Stand-Service-Ms"
-	// HeaderAnswerBytes sets the size of the answer.
-	HeaderAnswerBytes = "Stand-Answer-Bytes"
+	// HeaderServiceTime sets the service time in milliseconds.
+	HeaderServiceTime = "Stand-Service-Ms"
+	// HeaderResponseBytes sets the size of the answer.
+	HeaderResponseBytes = "Stand-Answer-Bytes"
 	// HeaderCrash is "true" on a request that crashes every target that runs it.
 	HeaderCrash = "Stand-Crash"
 	// HeaderFault asks for a Fault of the answer.
@@ -77,8 +77,8 @@
 	ServiceMS float64 `json:"service-ms"`
 	// SlowFactor multiplies every service time, for straggler phases. Zero means 1.
 	SlowFactor float64 `json:"slow-factor"`
-	// AnswerBytes is the size of an answer. Zero means 64.
-	AnswerBytes int64 `json:"answer-bytes"`
+	// ResponseBytes is the size of an answer. Zero means 64.
+	ResponseBytes int64 `json:"answer-bytes"`
 	// WhenFull is Queue unless it is set to Shed.
 	WhenFull WhenFull `json:"when-full"`
 	// HealthState is reported by /healthz in place of the true state unless it is empty.
@@ -196,8 +196,8 @@
 	tgt.noteHealth()
 }
 
-// FailAnswers makes the next answers have a fault.
-func (tgt *Target) FailAnswers(flt Fault, times int) {
+// InjectFaults makes the next answers have a fault.
+func (tgt *Target) InjectFaults(flt Fault, times int) {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
 	for range times {
--- a/internal/stand/target/target_test.go
+++ b/internal/stand/target/target_test.go
@@ -133,10 +133,10 @@
 		half   bool
 	}{
 		{flt: "", id: "b", bodies: 1},
-		{flt: target.FaultOtherID, id: "a", bodies: 1},
+		{flt: target.FaultWrongID, id: "a", bodies: 1},
 		{flt: target.FaultNoID, id: "", bodies: 1},
 		{flt: target.FaultTruncated, id: "b", half: true},
-		{flt: target.FaultDoubled, id: "b", bodies: 2},
+		{flt: target.FaultDuplicated, id: "b", bodies: 2},
 		{flt: target.FaultTooLong, id: "b", bodies: 1, extra: true},
 	}
 	for _, tst := range tests {
@@ -144,7 +144,7 @@
 			fix := start(t, target.Config{Slots: 1})
 			fix.send(context.Background(), "/x", cardamompass.HeaderRequestID, "a")
 			if tst.flt != "" {
-				fix.tgt.FailAnswers(tst.flt, 1)
+				fix.tgt.InjectFaults(tst.flt, 1)
 			}
 			con, err := net.Dial("tcp", fix.tgt.Address())
 			if err != nil {
--- a/internal/stand/target/work.go
+++ b/internal/stand/target/work.go
@@ -79,15 +79,15 @@
 			Operation: req.Header.Get(HeaderOperation),
 			RequestID: req.Header.Get(cardamompass.HeaderRequestID),
 		},
-		siz: bhv.AnswerBytes,
+		siz: bhv.ResponseBytes,
 		flt: Fault(req.Header.Get(HeaderFault)),
 		cra: req.Header.Get(HeaderCrash) == "true" || strings.Contains(string(dat), mrk),
 	}
-	jbb.svc = tgt.serviceTime(bhv, req.Header.Get(HeaderService))
+	jbb.svc = tgt.serviceTime(bhv, req.Header.Get(HeaderServiceTime))
 	if jbb.siz == 0 {
 		jbb.siz = defaultAnswerBytes
 	}
-	if siz, err := strconv.ParseInt(req.Header.Get(HeaderAnswerBytes), 10, 64); err == nil && siz >= 0 {
+	if siz, err := strconv.ParseInt(req.Header.Get(HeaderResponseBytes), 10, 64); err == nil && siz >= 0 {
 		jbb.siz = siz
 	}
 	return jbb
