--- a/internal/stand/target/content.go
+++ b/internal/stand/target/content.go
@@ -8,24 +8,24 @@
 	"github.com/pkg/errors"
 )
 
-// ContentKey names what a caller sent, whatever connection or attempt carried it: the method, the path with the query as
+// ContentKey identifies what a caller sent, independent of connection and attempt: the method, the path with the query as
 // the target received it, and the body.
 func ContentKey(method, uri string, body []byte) string {
 	return fmt.Sprintf("%s %s %016x", method, uri, xxhash.Sum64(body))
 }
 
-// Content returns the answer of size bytes to the request with this ContentKey.
+// Content returns the response body of size bytes for the request with this ContentKey.
 func Content(key string, size int64) []byte {
 	dat, _ := io.ReadAll(newContent(key, size))
 	return dat
 }
 
-// ETag returns the strong entity tag of that answer.
+// ETag returns the strong entity tag of the response body that Content returns.
 func ETag(key string, size int64) string {
 	return fmt.Sprintf("\"%016x-%d\"", xxhash.Sum64String(key), size)
 }
 
-// content is a readable and seekable answer that is computed as it is read.
+// content is a seekable response body that is computed as it is read.
 type content struct {
 	sed uint64
 	siz int64
--- a/internal/stand/target/control.go
+++ b/internal/stand/target/control.go
@@ -13,9 +13,9 @@
 	rtr.HandleFunc("/healthz", tgt.healthz).Methods(http.MethodGet)
 	rtr.HandleFunc("/load", tgt.load).Methods(http.MethodGet)
 	rtr.PathPrefix("/control/").Handler(tgt.ctl)
-	rtr.PathPrefix("/").HandlerFunc(tgt.work)
+	rtr.PathPrefix("/").HandlerFunc(tgt.handle)
 	return http.HandlerFunc(func(rsw http.ResponseWriter, req *http.Request) {
-		if !tgt.enter() {
+		if !tgt.addHandler() {
 			ctrl.Abort()
 		}
 		defer tgt.wgr.Done()
@@ -63,7 +63,7 @@
 		tgt.ResetRuns()
 		ctrl.WriteJSON(rsw, http.StatusOK, tgt.Runs())
 	}).Methods(http.MethodDelete)
-	// The fields that a body does not name keep their values.
+	// Fields that are not in the request body keep their values.
 	rtr.HandleFunc("/control/behaviour", func(rsw http.ResponseWriter, req *http.Request) {
 		bhv := tgt.Behaviour()
 		if ctrl.ReadJSON(rsw, req, &bhv) {
--- a/internal/stand/target/life.go
+++ b/internal/stand/target/incarnation.go
@@ -15,73 +15,73 @@
 const (
 	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 10 * time.Second
-	// Another process may hold the port for a moment after a crash, so a restart tries again.
+	// A restart retries, because another process may hold the port for a moment after a crash.
 	restartTries = 100
 	restartPause = 20 * time.Millisecond
 )
 
-// life is one run of a target, from a start to a crash or the clean-up. It is the listener of that run.
-type life struct {
+// incarnation is a target from a start to the next crash or the clean-up, and the listener of that time.
+type incarnation struct {
 	net.Listener
 	tgt *Target
 	srv *http.Server
-	// end is closed when the run ends.
+	// end is closed when the incarnation ends.
 	end chan struct{}
 
 	mut sync.Mutex
 	con map[*conn]struct{}
-	ded bool
+	cls bool
 }
 
-// conn is a connection of a run. Its first read bears the cost of a new connection.
+// conn is a connection of an incarnation. Its first read is delayed by the cost of a new connection.
 type conn struct {
 	net.Conn
-	lif *life
+	inc *incarnation
 	one sync.Once
 	cls sync.Once
 }
 
-// Accept implements net.Listener. It closes the connections that are too many.
-func (lif *life) Accept() (net.Conn, error) {
+// Accept implements net.Listener. It resets connections above the limit.
+func (inc *incarnation) Accept() (net.Conn, error) {
 	for {
-		raw, err := lif.Listener.Accept()
+		raw, err := inc.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		con := &conn{
 			Conn: raw,
-			lif:  lif,
+			inc:  inc,
 		}
-		if lif.add(con) {
+		if inc.add(con) {
 			return con, nil
 		}
 		reset(raw)
 	}
 }
 
-func (lif *life) add(con *conn) (ok bool) {
-	lif.mut.Lock()
-	defer lif.mut.Unlock()
-	lim := lif.tgt.cfg.Connections
-	if lif.ded || (lim > 0 && len(lif.con) >= lim) {
+func (inc *incarnation) add(con *conn) (ok bool) {
+	inc.mut.Lock()
+	defer inc.mut.Unlock()
+	lim := inc.tgt.cfg.Connections
+	if inc.cls || (lim > 0 && len(inc.con) >= lim) {
 		return false
 	}
-	lif.con[con] = struct{}{}
-	lif.tgt.wgr.Add(1)
+	inc.con[con] = struct{}{}
+	inc.tgt.wgr.Add(1)
 	return true
 }
 
-// kill ends the run abruptly: the listener closes and every connection is reset.
-func (lif *life) kill() {
-	lif.mut.Lock()
-	defer lif.mut.Unlock()
-	if lif.ded {
+// kill ends the incarnation abruptly: it closes the listener and resets every connection.
+func (inc *incarnation) kill() {
+	inc.mut.Lock()
+	defer inc.mut.Unlock()
+	if inc.cls {
 		return
 	}
-	lif.ded = true
-	close(lif.end)
-	_ = lif.Close()
-	for con := range lif.con {
+	inc.cls = true
+	close(inc.end)
+	_ = inc.Close()
+	for con := range inc.con {
 		reset(con.Conn)
 	}
 }
@@ -89,15 +89,15 @@
 // Read implements net.Conn.
 func (con *conn) Read(buf []byte) (num int, err error) {
 	con.one.Do(func() {
-		cst := con.lif.tgt.cfg.ConnCost
+		cst := con.inc.tgt.cfg.ConnCost
 		if cst <= 0 {
 			return
 		}
-		tmr := con.lif.tgt.clk.NewTimer(cst)
+		tmr := con.inc.tgt.clk.NewTimer(cst)
 		defer tmr.Stop()
 		select {
 		case <-tmr.C():
-		case <-con.lif.end:
+		case <-con.inc.end:
 		}
 	})
 	return con.Conn.Read(buf)
@@ -106,15 +106,15 @@
 // Close implements net.Conn. The server calls it when the goroutine of the connection ends.
 func (con *conn) Close() error {
 	con.cls.Do(func() {
-		con.lif.mut.Lock()
-		delete(con.lif.con, con)
-		con.lif.mut.Unlock()
-		con.lif.tgt.wgr.Done()
+		con.inc.mut.Lock()
+		delete(con.inc.con, con)
+		con.inc.mut.Unlock()
+		con.inc.tgt.wgr.Done()
 	})
 	return con.Conn.Close()
 }
 
-// reset closes a connection so that the other side sees a reset and not an orderly end.
+// reset closes a connection with a TCP reset instead of an orderly end.
 func reset(con net.Conn) {
 	if tcp, ok := con.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -122,64 +122,64 @@
 	_ = con.Close()
 }
 
-// Restart starts the target at its address unless it is up. It starts cold and does not drain.
+// Restart starts the target at its address unless it is running. It starts cold and not draining.
 func (tgt *Target) Restart() (err error) {
 	defer func() { err = errors.Wrap(err, "restart") }()
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
-	if tgt.cls || tgt.lif != nil {
+	if tgt.cls || tgt.inc != nil {
 		return nil
 	}
 	lsn, err := net.Listen("tcp", tgt.adr) //nolint:noctx // the listener lives until a crash or the clean-up
 	if err != nil {
 		return err
 	}
-	lif := &life{
+	inc := &incarnation{
 		Listener: lsn,
 		tgt:      tgt,
 		end:      make(chan struct{}),
 		con:      map[*conn]struct{}{},
 	}
-	lif.srv = &http.Server{
+	inc.srv = &http.Server{
 		Handler:           tgt.hnd,
 		ReadHeaderTimeout: headerTimeout,
 		BaseContext: func(net.Listener) context.Context {
-			return context.WithValue(context.Background(), lifeKey{}, lif)
+			return context.WithValue(context.Background(), incarnationKey{}, inc)
 		},
 	}
 	if tgt.sta.IsZero() {
 		tgt.adr = lsn.Addr().String()
 	}
-	tgt.lif = lif
+	tgt.inc = inc
 	tgt.sta = tgt.clk.Now()
 	if tgt.drn {
 		tgt.drn, tgt.dch = false, make(chan struct{})
 	}
-	tgt.noteHealth()
-	tgt.wgr.Go(func() { _ = lif.srv.Serve(lif) })
+	tgt.recordHealth()
+	tgt.wgr.Go(func() { _ = inc.srv.Serve(inc) })
 	return nil
 }
 
-// lifeKey is the context key under which a request finds the run that accepted it.
-type lifeKey struct{}
+// incarnationKey is the context key of the incarnation that accepted a request.
+type incarnationKey struct{}
 
-func lifeOf(req *http.Request) *life {
-	lif, _ := req.Context().Value(lifeKey{}).(*life)
-	return lif
+func incarnationOf(req *http.Request) *incarnation {
+	inc, _ := req.Context().Value(incarnationKey{}).(*incarnation)
+	return inc
 }
 
 // Crash closes the listener and all connections abruptly. The target starts again after RestartMS of its behaviour.
 func (tgt *Target) Crash() {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
-	if tgt.lif == nil {
+	if tgt.inc == nil {
 		return
 	}
-	tgt.lif.kill()
-	tgt.lif = nil
+	tgt.inc.kill()
+	tgt.inc = nil
 	tgt.rec.crashes++
 	if tgt.bhv.RestartMS > 0 && !tgt.cls {
-		// The timer starts here, so that a clock that is advanced right after the crash counts.
+		// The timer is created here, so that advancing the clock right after the crash takes effect.
 		tmr := tgt.clk.NewTimer(milliseconds(tgt.bhv.RestartMS))
 		tgt.wgr.Go(func() { tgt.restartAt(tmr) })
 	}
@@ -203,16 +203,16 @@
 	tgt.mut.Lock()
 	tgt.cls = true
 	close(tgt.end)
-	if tgt.lif != nil {
-		tgt.lif.kill()
-		tgt.lif = nil
+	if tgt.inc != nil {
+		tgt.inc.kill()
+		tgt.inc = nil
 	}
 	tgt.mut.Unlock()
 	tgt.wgr.Wait()
 }
 
-// enter counts a handler, so that the clean-up function waits for it.
-func (tgt *Target) enter() (ok bool) {
+// addHandler counts a handler, so that the clean-up function waits for it.
+func (tgt *Target) addHandler() (ok bool) {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
 	if tgt.cls {
@@ -222,7 +222,7 @@
 	return true
 }
 
-// sleep waits for dur and reports false when stp came first.
+// sleep waits for dur and returns false if stp is closed first.
 func sleep(clk cardamompass.Clock, dur time.Duration, stp <-chan struct{}) (ok bool) {
 	if dur <= 0 {
 		return true
--- a/internal/stand/target/answer.go
+++ b/internal/stand/target/response.go
@@ -12,20 +12,20 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// Fault is a fault of an answer. The request has run when its answer has a fault.
+// Fault is a fault of a response. The request runs before its faulty response is sent.
 type Fault string
 
-// The faults of answers.
+// Faults of responses.
 const (
-	// FaultLate delays the answer by LateMS of the behaviour, with the slot already free and the deadline ignored.
+	// FaultLate delays the response by LateMS of the behaviour, after the slot was released and regardless of the deadline.
 	FaultLate Fault = "late"
 	// FaultWrongID echoes the id of another request.
 	FaultWrongID Fault = "other-id"
 	// FaultNoID echoes no id.
 	FaultNoID Fault = "no-id"
-	// FaultTruncated declares the whole length, sends half of the body and closes the connection.
+	// FaultTruncated declares the full length, sends half of the body and closes the connection.
 	FaultTruncated Fault = "truncated"
-	// FaultDuplicated sends the answer twice on the connection.
+	// FaultDuplicated sends the response twice on the connection.
 	FaultDuplicated Fault = "doubled"
 	// FaultTooLong sends more bytes than declared.
 	FaultTooLong Fault = "too-long"
@@ -35,11 +35,11 @@
 const surplus = "surplus bytes after the declared end"
 
 // lingerTime is how long a connection stays open, unserved, after FaultDuplicated and FaultTooLong, so that a client that
-// wrongly uses it again reads the surplus.
+// wrongly reuses it reads the surplus bytes.
 const lingerTime = 5 * time.Second
 
-// answer sends the answer of a job that ran. It calls free, which gives the slot back, before a late answer.
-func (tgt *Target) answer(rsw http.ResponseWriter, jbb *job, free func()) {
+// respond sends the response to a job that ran. Before a late response it calls free, which releases the slot.
+func (tgt *Target) respond(rsw http.ResponseWriter, jbb *job, free func()) {
 	flt := tgt.nextFault(jbb)
 	if flt == FaultLate {
 		free()
@@ -47,19 +47,19 @@
 		if lms == 0 {
 			lms = defaultLateMS
 		}
-		if !sleep(tgt.clk, milliseconds(lms), jbb.lif.end) {
+		if !sleep(tgt.clk, milliseconds(lms), jbb.inc.end) {
 			ctrl.Abort()
 		}
 	}
-	tgt.head(rsw, jbb)
+	tgt.setHeaders(rsw, jbb)
 	hdr := rsw.Header()
 	hdr.Set("Content-Type", "application/octet-stream")
 	hdr.Set("Etag", ETag(jbb.key, jbb.siz))
 	switch flt {
 	case FaultLate:
-		// The answer is whole; only its delay was faulty.
+		// The response itself is complete and correct; only the delay is the fault.
 	case FaultWrongID:
-		hdr.Set(cardamompass.HeaderRequestID, tgt.otherID(jbb.rid))
+		hdr.Set(cardamompass.HeaderRequestID, tgt.wrongID(jbb.rid))
 	case FaultNoID:
 		hdr.Del(cardamompass.HeaderRequestID)
 	case FaultTruncated:
@@ -89,8 +89,8 @@
 	return flt
 }
 
-// otherID returns the id of a recent request that is not rid, or an id that no request has.
-func (tgt *Target) otherID(rid string) string {
+// wrongID returns the id of a recent request that is not rid, or an id that no request has.
+func (tgt *Target) wrongID(rid string) string {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
 	for _, oid := range tgt.rec.ids {
@@ -101,7 +101,7 @@
 	return rid + "-other"
 }
 
-// truncWriter passes on half of the declared body and swallows the rest.
+// truncWriter writes half of the declared body and discards the rest.
 type truncWriter struct {
 	http.ResponseWriter
 	lft int64
@@ -124,7 +124,7 @@
 	return len(buf), nil
 }
 
-// hijack writes an answer that net/http would not, and leaves the connection open but unserved for a while.
+// hijack writes a response that net/http does not allow, and leaves the connection open but unserved for lingerTime.
 func (tgt *Target) hijack(rsw http.ResponseWriter, jbb *job, flt Fault, free func()) {
 	con, brw, err := http.NewResponseController(rsw).Hijack()
 	if err != nil {
--- a/internal/stand/target/runs.go
+++ b/internal/stand/target/runs.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxLastRuns bounds the list of single runs that are kept. It covers tests that count the runs in each second of a
-// storm.
+// maxLastRuns bounds the list of individual runs. It is large enough for tests that count the runs in each second of an
+// overload.
 const maxLastRuns = 10000
 
 // Run is one execution of a request.
@@ -15,27 +15,27 @@
 	Content string `json:"content"`
 	// Operation is the header Stand-Operation of the request.
 	Operation string `json:"operation"`
-	// RequestID is the id of the attempt.
+	// RequestID is the request id of the attempt.
 	RequestID string `json:"request-id"`
-	// At is the time at which the request got its slot.
+	// At is the time at which the request acquired its slot.
 	At time.Time `json:"at"`
 }
 
-// Runs is the record of a target. It survives crashes. A request counts as run from the moment it has a slot.
+// Runs is the record of a target. It survives crashes. A request counts as run once it has a slot.
 type Runs struct {
-	// Total is the number of runs; Finished, Expired and Cancelled say how they ended, the others crashed or run.
+	// Total is the number of runs. Finished, Expired and Cancelled count them by result; all others crashed or are running.
 	Total     int `json:"total"`
 	Finished  int `json:"finished"`
 	Expired   int `json:"expired"`
 	Cancelled int `json:"cancelled"`
-	// Shed is the number of requests that were refused or left before they ran.
+	// Shed is the number of requests that were refused, expired or cancelled before they ran.
 	Shed int `json:"shed"`
 	// Crashes is the number of crashes.
 	Crashes int `json:"crashes"`
-	// Running is the number of requests that run now, MaxRunning the highest number so far.
+	// Running is the number of running requests, MaxRunning its highest value so far.
 	Running    int `json:"running"`
 	MaxRunning int `json:"max-running"`
-	// MaxPresent is the highest number of requests that ran or waited at once.
+	// MaxPresent is the highest number of requests that ran or waited at the same time.
 	MaxPresent int `json:"max-present"`
 	// ByContent, ByOperation and ByRequestID count the runs.
 	ByContent   map[string]int `json:"by-content"`
@@ -54,7 +54,7 @@
 	opr map[string]int
 	rid map[string]int
 	lst []Run
-	// ids holds the ids of the last two requests that were answered.
+	// ids holds the ids of the last two requests that got a response.
 	ids [2]string
 }
 
@@ -83,7 +83,7 @@
 	rec.lst = append(rec.lst, run)
 }
 
-func (rec *recorder) arrive(num int) {
+func (rec *recorder) addPresent(num int) {
 	rec.present += num
 	rec.maxPresent = max(rec.maxPresent, rec.present)
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// ResetRuns empties the record, but for the requests that are present.
+// ResetRuns clears the record, except for the requests that are running or waiting.
 func (tgt *Target) ResetRuns() {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
--- a/internal/stand/target/target.go
+++ b/internal/stand/target/target.go
@@ -1,8 +1,8 @@
-// Package target is a stand-in of a target, the process that runs requests of one service, for tests and the demo.
+// Package target simulates a target, the process that runs requests of one service, for tests and the demo.
 //
-// A target listens at an address of its own and runs as many requests at a time as it has slots. It answers any path
-// with deterministic content, see Content, and echoes the request id. It drains, starts cold, crashes on marked requests
-// and gives faulty answers on demand, and it records every run, see Runs. Time comes from a Clock. It is controlled by
+// A target listens at its own address and runs as many requests concurrently as it has slots. It serves any path with
+// deterministic content, see Content, and echoes the request id. On demand it drains, starts cold, crashes on marked
+// requests and sends faulty responses. It records every run, see Runs. Time comes from a Clock. A target is controlled by
 // methods, by request headers that start with "Stand-", or below /control/.
 package target
 
@@ -17,15 +17,15 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// Headers by which one request asks for a behaviour.
+// Headers that set the behaviour for a single request.
 const (
 	// HeaderServiceTime sets the service time in milliseconds.
 	HeaderServiceTime = "Stand-Service-Ms"
-	// HeaderResponseBytes sets the size of the answer.
+	// HeaderResponseBytes sets the size of the response.
 	HeaderResponseBytes = "Stand-Answer-Bytes"
 	// HeaderCrash is "true" on a request that crashes every target that runs it.
 	HeaderCrash = "Stand-Crash"
-	// HeaderFault asks for a Fault of the answer.
+	// HeaderFault is the Fault of the response.
 	HeaderFault = "Stand-Answer-Fault"
 	// HeaderOperation names the caller's operation in the records of runs.
 	HeaderOperation = "Stand-Operation"
@@ -36,17 +36,17 @@
 	DefaultCrashMarker = "stand-crash-marker"
 	// DefaultConnCost is the cost of a new connection.
 	DefaultConnCost = time.Millisecond
-	// defaultAnswerBytes is the size of an answer when nothing else is asked for.
-	defaultAnswerBytes = 64
-	// defaultLateMS is the delay of a late answer.
+	// defaultResponseBytes is the size of a response unless a header or the behaviour sets one.
+	defaultResponseBytes = 64
+	// defaultLateMS is the delay of a late response.
 	defaultLateMS = 500
 )
 
-// WhenFull tells what a target does with a request when all slots are taken.
+// WhenFull is what a target does with a request when all slots are in use.
 type WhenFull string
 
 const (
-	// Queue makes the request wait within its deadline.
+	// Queue makes the request wait for a slot until its deadline.
 	Queue WhenFull = "queue"
 	// Shed refuses the request.
 	Shed WhenFull = "shed"
@@ -54,7 +54,7 @@
 
 // Config describes a target.
 type Config struct {
-	// Address is the host:port, by IP number, to listen at; port 0 takes any.
+	// Address is the IP address and port to listen at; port 0 means any free port.
 	Address string
 	// Slots is the number of requests that run at the same time, at least 1.
 	Slots int
@@ -65,19 +65,19 @@
 	// ColdFor is the time after a start during which requests take ColdFactor times as long.
 	ColdFor    time.Duration
 	ColdFactor float64
-	// Behaviour is the behaviour at the start.
+	// Behaviour is the initial behaviour.
 	Behaviour Behaviour
 	// Clock gives the time. Nil means the system's clock.
 	Clock cardamompass.Clock
 }
 
-// Behaviour is what can change while a target runs.
+// Behaviour is the part of the configuration that can change while a target runs.
 type Behaviour struct {
 	// ServiceMS is the service time of a request in milliseconds.
 	ServiceMS float64 `json:"service-ms"`
 	// SlowFactor multiplies every service time, for straggler phases. Zero means 1.
 	SlowFactor float64 `json:"slow-factor"`
-	// ResponseBytes is the size of an answer. Zero means 64.
+	// ResponseBytes is the size of a response. Zero means 64.
 	ResponseBytes int64 `json:"answer-bytes"`
 	// WhenFull is Queue unless it is set to Shed.
 	WhenFull WhenFull `json:"when-full"`
@@ -89,7 +89,7 @@
 	LoadInFlight *int `json:"load-in-flight"`
 	// LoadLagMS is the age of the load that /load reports, in milliseconds.
 	LoadLagMS int64 `json:"load-lag-ms"`
-	// LateMS is the delay of a late answer in milliseconds. Zero means 500.
+	// LateMS is the delay of a late response in milliseconds. Zero means 500.
 	LateMS int64 `json:"late-ms"`
 	// RestartMS is the time after a crash at which the target starts again. Zero means that only Restart starts it.
 	RestartMS int64 `json:"restart-ms"`
@@ -97,7 +97,7 @@
 	CrashMarker string `json:"crash-marker"`
 }
 
-// Target is a target. It is safe for concurrent use.
+// Target is a simulated target. It is safe for concurrent use.
 type Target struct {
 	cfg Config
 	clk cardamompass.Clock
@@ -111,8 +111,8 @@
 
 	mut sync.Mutex
 	bhv Behaviour
-	// lif is the run of the target, nil while it is down.
-	lif *life
+	// inc is the current incarnation, nil while the target is down.
+	inc *incarnation
 	// sta is the time of the last start.
 	sta time.Time
 	cls bool
@@ -165,22 +165,22 @@
 // Control returns the handler of /control/, so that it can be served at an address that survives crashes.
 func (tgt *Target) Control() http.Handler { return tgt.ctl }
 
-// Behaviour returns the behaviour in force.
+// Behaviour returns the current behaviour.
 func (tgt *Target) Behaviour() Behaviour {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
 	return tgt.bhv
 }
 
-// SetBehaviour replaces the behaviour in force. Running requests keep theirs.
+// SetBehaviour replaces the current behaviour. Running requests keep the one that they started with.
 func (tgt *Target) SetBehaviour(bhv Behaviour) {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
 	tgt.bhv = bhv
 }
 
-// SetDraining starts or ends a drain. While it lasts, running requests finish, waiting and new ones are shed, and every
-// answer says that the target leaves.
+// SetDraining starts or ends a drain. During a drain, running requests finish, waiting and new ones are shed, and
+// every response states that the target is draining.
 func (tgt *Target) SetDraining(drn bool) {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
@@ -193,10 +193,10 @@
 	} else {
 		tgt.dch = make(chan struct{})
 	}
-	tgt.noteHealth()
+	tgt.recordHealth()
 }
 
-// InjectFaults makes the next answers have a fault.
+// InjectFaults applies a fault to the given number of coming responses.
 func (tgt *Target) InjectFaults(flt Fault, times int) {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
@@ -205,8 +205,8 @@
 	}
 }
 
-// noteHealth records the state for late reports. The caller holds the mutex.
-func (tgt *Target) noteHealth() {
+// recordHealth records the state for reports with a lag. The caller holds the mutex.
+func (tgt *Target) recordHealth() {
 	sta := "serving"
 	if tgt.drn {
 		sta = "draining"
@@ -214,8 +214,8 @@
 	tgt.hea.Add(tgt.clk.Now(), milliseconds(tgt.bhv.HealthLagMS), sta)
 }
 
-// noteLoad records the load for late reports. The caller holds the mutex.
-func (tgt *Target) noteLoad() {
+// recordLoad records the load for reports with a lag. The caller holds the mutex.
+func (tgt *Target) recordLoad() {
 	tgt.loa.Add(tgt.clk.Now(), milliseconds(tgt.bhv.LoadLagMS), tgt.rec.running)
 }
 
--- a/internal/stand/target/target_test.go
+++ b/internal/stand/target/target_test.go
@@ -27,7 +27,7 @@
 	htc *http.Client
 }
 
-// start starts a target with a manual clock, so that a service time lasts until the test advances the clock.
+// start starts a target with a manual clock, so that service times end only when the test advances the clock.
 func start(t *testing.T, cfg target.Config) fixture {
 	t.Helper()
 	clk := ctrl.NewManualClock(time.Unix(1000, 0))
@@ -49,7 +49,7 @@
 	}
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -57,25 +57,25 @@
 }
 
 // send sends a GET of path with pairs of a header name and a value.
-func (fix fixture) send(ctx context.Context, path string, pairs ...string) (ans answer) {
+func (fix fixture) send(ctx context.Context, path string, pairs ...string) (rsp response) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+fix.tgt.Address()+path, nil)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	for idx := 0; idx < len(pairs); idx += 2 {
 		req.Header.Set(pairs[idx], pairs[idx+1])
 	}
-	rsp, err := fix.htc.Do(req)
+	hrs, err := fix.htc.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
-	defer rsp.Body.Close()
-	dat, err := io.ReadAll(rsp.Body)
-	return answer{rsp.StatusCode, rsp.Header, string(dat), err}
+	defer hrs.Body.Close()
+	dat, err := io.ReadAll(hrs.Body)
+	return response{hrs.StatusCode, hrs.Header, string(dat), err}
 }
 
-func (fix fixture) async(ctx context.Context, path string, pairs ...string) <-chan answer {
-	res := make(chan answer, 1)
+func (fix fixture) async(ctx context.Context, path string, pairs ...string) <-chan response {
+	res := make(chan response, 1)
 	go func() { res <- fix.send(ctx, path, pairs...) }()
 	return res
 }
@@ -86,7 +86,7 @@
 	return bdy["state"]
 }
 
-// until waits for a condition that another goroutine brings about.
+// until waits until another goroutine has made a condition true.
 func (fix fixture) until(cond func(target.Runs) bool) {
 	fix.t.Helper()
 	for range 10000 {
@@ -98,31 +98,31 @@
 	fix.t.Fatalf("condition not reached: %+v", fix.tgt.Runs())
 }
 
-// Guards against answers that a caller could not tell from another request's, and against resumed answers that differ.
+// Guards against equal content for different requests, and against resumed responses that differ from the original.
 func TestContentAndRange(t *testing.T) {
 	ctx := context.Background()
 	fix := start(t, target.Config{Slots: 1})
 	key := target.ContentKey("GET", "/map?v=1", nil)
 	want := string(target.Content(key, 5000))
-	ans := fix.send(ctx, "/map?v=1", "Stand-Answer-Bytes", "5000", cardamompass.HeaderRequestID, "a-1")
-	if ans.body != want || ans.header.Get(cardamompass.HeaderRequestID) != "a-1" {
-		t.Fatalf("whole answer: %d bytes, %v, %v", len(ans.body), ans.header, ans.err)
+	rsp := fix.send(ctx, "/map?v=1", "Stand-Answer-Bytes", "5000", cardamompass.HeaderRequestID, "a-1")
+	if rsp.body != want || rsp.header.Get(cardamompass.HeaderRequestID) != "a-1" {
+		t.Fatalf("full response: %d bytes, %v, %v", len(rsp.body), rsp.header, rsp.err)
 	}
 	if other := fix.send(ctx, "/map?v=2", "Stand-Answer-Bytes", "5000"); other.body == want {
 		t.Fatal("two requests have the same content")
 	}
-	tag := ans.header.Get("Etag")
-	ans = fix.send(ctx, "/map?v=1", "Stand-Answer-Bytes", "5000", "Range", "bytes=1234-", "If-Range", tag)
-	if ans.status != http.StatusPartialContent || ans.body != want[1234:] {
-		t.Fatalf("resumed answer: status %d, %d bytes", ans.status, len(ans.body))
+	tag := rsp.header.Get("Etag")
+	rsp = fix.send(ctx, "/map?v=1", "Stand-Answer-Bytes", "5000", "Range", "bytes=1234-", "If-Range", tag)
+	if rsp.status != http.StatusPartialContent || rsp.body != want[1234:] {
+		t.Fatalf("resumed response: status %d, %d bytes", rsp.status, len(rsp.body))
 	}
-	ans = fix.send(ctx, "/map?v=1", "Stand-Answer-Bytes", "5000", "Range", "bytes=1234-", "If-Range", `"x"`)
-	if ans.status != http.StatusOK || ans.body != want {
-		t.Fatalf("resumed answer with another tag: status %d, %d bytes", ans.status, len(ans.body))
+	rsp = fix.send(ctx, "/map?v=1", "Stand-Answer-Bytes", "5000", "Range", "bytes=1234-", "If-Range", `"x"`)
+	if rsp.status != http.StatusOK || rsp.body != want {
+		t.Fatalf("resumed response with another tag: status %d, %d bytes", rsp.status, len(rsp.body))
 	}
 }
 
-// Guards against a faulty answer that a client cannot see as faulty on the wire.
+// Guards against an injected fault that does not appear on the wire.
 func TestAnswerFaults(t *testing.T) {
 	tests := []struct {
 		flt target.Fault
@@ -153,7 +153,7 @@
 			defer con.Close()
 			_, _ = io.WriteString(con, "GET /x HTTP/1.1\r\nHost: t\r\nConnection: close\r\n"+
 				cardamompass.HeaderRequestID+": b\r\n\r\n")
-			// An end of the sending direction before the answer would cancel the request.
+			// Closing the write direction before the response would cancel the request.
 			raw := make([]byte, 1)
 			if _, err = io.ReadFull(con, raw); err != nil {
 				t.Fatal(err)
@@ -163,7 +163,7 @@
 			raw = append(raw, rst...)
 			bdy := target.Content(target.ContentKey("GET", "/x", nil), 64)
 			if got := bytes.Count(raw, bdy); got != tst.bodies {
-				t.Errorf("%d whole bodies, want %d: %q", got, tst.bodies, raw)
+				t.Errorf("%d complete bodies, want %d: %q", got, tst.bodies, raw)
 			}
 			if got := bytes.HasSuffix(raw, bdy[:32]); got != tst.half {
 				t.Errorf("ends after half of the body: %v, want %v", got, tst.half)
@@ -178,27 +178,27 @@
 	}
 }
 
-// Guards against a late answer that keeps its slot.
+// Guards against a late response that holds its slot.
 func TestLateAnswer(t *testing.T) {
 	ctx := context.Background()
 	fix := start(t, target.Config{Slots: 1})
 	res := fix.async(ctx, "/x", "Stand-Answer-Fault", "late")
 	fix.clk.AwaitTimers(1)
-	if ans := fix.send(ctx, "/y"); ans.status != http.StatusOK {
-		t.Fatalf("request beside a late answer: %+v", ans)
+	if rsp := fix.send(ctx, "/y"); rsp.status != http.StatusOK {
+		t.Fatalf("request during a late response: %+v", rsp)
 	}
 	select {
-	case ans := <-res:
-		t.Fatalf("answer before its time: %+v", ans)
+	case rsp := <-res:
+		t.Fatalf("response before its delay is over: %+v", rsp)
 	default:
 	}
 	fix.clk.Advance(time.Second)
-	if ans := <-res; ans.status != http.StatusOK {
-		t.Fatalf("late answer: %+v", ans)
+	if rsp := <-res; rsp.status != http.StatusOK {
+		t.Fatalf("late response: %+v", rsp)
 	}
 }
 
-// Guards against a target that runs more than its slots, or that counts as run what it shed.
+// Guards against a target that runs more than its slots, or that counts shed requests as runs.
 func TestSlots(t *testing.T) {
 	ctx := context.Background()
 	for _, wfl := range []target.WhenFull{target.Queue, target.Shed} {
@@ -215,20 +215,20 @@
 			thr := fix.async(ctx, "/3", "Stand-Service-Ms", "0", "Stand-Operation", "op-3")
 			fix.until(func(run target.Runs) bool { return run.MaxPresent == 3 })
 			if wfl == target.Shed {
-				if ans := <-thr; ans.status != 503 || ans.header.Get(cardamompass.HeaderShed) != "true" {
-					t.Fatalf("request beyond the slots: %+v", ans)
+				if rsp := <-thr; rsp.status != 503 || rsp.header.Get(cardamompass.HeaderShed) != "true" {
+					t.Fatalf("request beyond the slots: %+v", rsp)
 				}
 			}
 			fix.clk.AwaitTimers(2)
 			fix.clk.Advance(time.Second)
-			if ans := <-one; ans.status != 200 || (<-two).status != 200 {
-				t.Fatal("a request with a slot got no answer")
+			if rsp := <-one; rsp.status != 200 || (<-two).status != 200 {
+				t.Fatal("a request with a slot got no response")
 			}
 			want := 0
 			if wfl == target.Queue {
 				want = 1
-				if ans := <-thr; ans.status != 200 {
-					t.Fatalf("queued request: %+v", ans)
+				if rsp := <-thr; rsp.status != 200 {
+					t.Fatalf("queued request: %+v", rsp)
 				}
 			}
 			if run := fix.tgt.Runs(); run.MaxRunning != 2 || run.ByOperation["op-3"] != want {
@@ -238,7 +238,8 @@
 	}
 }
 
-// Guards against a drain that cuts running work or takes new work, and against reports of it that do not lag or lie.
+// Guards against a drain that aborts running requests or accepts new ones, and against health reports that ignore the
+// configured lag or state.
 func TestDrainAndReports(t *testing.T) {
 	ctx := context.Background()
 	fix := start(t, target.Config{
@@ -250,30 +251,30 @@
 	run := fix.async(ctx, "/1", "Stand-Service-Ms", "1000")
 	fix.clk.AwaitTimers(1)
 	fix.tgt.SetDraining(true)
-	ans := fix.send(ctx, "/2")
-	if ans.header.Get(cardamompass.HeaderShed) != "true" || ans.header.Get(cardamompass.HeaderState) != "draining" {
-		t.Fatalf("new work in a drain: %+v", ans)
+	rsp := fix.send(ctx, "/2")
+	if rsp.header.Get(cardamompass.HeaderShed) != "true" || rsp.header.Get(cardamompass.HeaderState) != "draining" {
+		t.Fatalf("new request during a drain: %+v", rsp)
 	}
 	fix.clk.Advance(time.Second)
-	if ans = <-run; ans.status != 200 || ans.header.Get(cardamompass.HeaderState) != "draining" {
-		t.Fatalf("running work in a drain: %+v", ans)
+	if rsp = <-run; rsp.status != 200 || rsp.header.Get(cardamompass.HeaderState) != "draining" {
+		t.Fatalf("running request during a drain: %+v", rsp)
 	}
 	if sta := fix.state(); sta != "serving" {
-		t.Fatalf("/healthz that lags says %q", sta)
+		t.Fatalf("/healthz with a lag returned %q", sta)
 	}
 	fix.clk.Advance(5 * time.Second)
 	if sta := fix.state(); sta != "draining" {
-		t.Fatalf("/healthz says %q", sta)
+		t.Fatalf("/healthz returned %q", sta)
 	}
 	fix.tgt.SetBehaviour(target.Behaviour{
 		HealthState: "cold",
 	})
 	if sta := fix.state(); sta != "cold" {
-		t.Fatalf("/healthz that lies says %q", sta)
+		t.Fatalf("/healthz with a set state returned %q", sta)
 	}
 }
 
-// Guards against work that goes on after its caller left or its deadline passed.
+// Guards against requests that keep running after their caller disconnected or their deadline passed.
 func TestCancelAndDeadline(t *testing.T) {
 	fix := start(t, target.Config{Slots: 1})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -285,12 +286,12 @@
 	res = fix.async(context.Background(), "/2", "Stand-Service-Ms", "60000", cardamompass.HeaderTimeout, "100")
 	fix.clk.AwaitTimers(2)
 	fix.clk.Advance(time.Second)
-	if ans := <-res; ans.status != http.StatusGatewayTimeout {
-		t.Fatalf("request beyond its deadline: %+v", ans)
+	if rsp := <-res; rsp.status != http.StatusGatewayTimeout {
+		t.Fatalf("request beyond its deadline: %+v", rsp)
 	}
 }
 
-// Guards against a crash that answers, spares other connections, leaves the port open, or loses the record of runs.
+// Guards against a crash that sends a response, keeps other connections or the port open, or loses the record of runs.
 func TestCrashAndRestart(t *testing.T) {
 	ctx := context.Background()
 	fix := start(t, target.Config{
@@ -303,22 +304,22 @@
 	})
 	oth := fix.async(ctx, "/1", "Stand-Service-Ms", "60000")
 	fix.clk.AwaitTimers(1)
-	if ans := fix.send(ctx, "/2", "Stand-Crash", "true"); ans.err == nil {
-		t.Fatalf("request that crashes: %+v", ans)
+	if rsp := fix.send(ctx, "/2", "Stand-Crash", "true"); rsp.err == nil {
+		t.Fatalf("request that crashes the target: %+v", rsp)
 	}
-	if ans := <-oth; ans.err == nil {
-		t.Fatalf("request beside it: %+v", ans)
+	if rsp := <-oth; rsp.err == nil {
+		t.Fatalf("request running during the crash: %+v", rsp)
 	}
 	if con, err := net.Dial("tcp", fix.tgt.Address()); err == nil {
 		con.Close()
-		t.Fatal("the port is open after the crash")
+		t.Fatal("the port still accepts connections after the crash")
 	}
 	fix.until(func(run target.Runs) bool { return run.Running == 0 })
 	fix.clk.Advance(5 * time.Second)
 	fix.until(func(target.Runs) bool { return fix.state() == "cold" })
 	fix.clk.Advance(time.Minute)
 	if sta := fix.state(); sta != "serving" {
-		t.Fatalf("/healthz says %q", sta)
+		t.Fatalf("/healthz returned %q", sta)
 	}
 	if run := fix.tgt.Runs(); run.Crashes != 1 || run.ByContent[target.ContentKey("GET", "/2", nil)] != 1 {
 		t.Fatalf("record: %+v", run)
--- a/internal/stand/target/work.go
+++ b/internal/stand/target/work.go
@@ -11,26 +11,26 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// job is one request for work.
+// job is a request to be run.
 type job struct {
 	req *http.Request
-	lif *life
+	inc *incarnation
 	bhv Behaviour
 	rid string
 	key string
 	run Run
 	// svc is the service time.
 	svc time.Duration
-	// siz is the size of the answer.
+	// siz is the size of the response.
 	siz int64
 	flt Fault
 	cra bool
-	// exp delivers the end of the deadline; nil when there is none.
+	// exp receives when the deadline has passed; nil without a deadline.
 	exp <-chan time.Time
 }
 
-// work is the handler of every path that is not the target's own.
-func (tgt *Target) work(rsw http.ResponseWriter, req *http.Request) {
+// handle serves every path except /healthz, /load and /control/.
+func (tgt *Target) handle(rsw http.ResponseWriter, req *http.Request) {
 	dat, err := io.ReadAll(http.MaxBytesReader(rsw, req.Body, ctrl.MaxBodyBytes))
 	if err != nil {
 		ctrl.Abort()
@@ -56,7 +56,7 @@
 	if !tgt.execute(rsw, jbb) {
 		return
 	}
-	tgt.answer(rsw, jbb, free)
+	tgt.respond(rsw, jbb, free)
 }
 
 func (tgt *Target) newJob(req *http.Request, dat []byte) *job {
@@ -70,7 +70,7 @@
 	key := ContentKey(req.Method, req.URL.RequestURI(), dat)
 	jbb := &job{
 		req: req,
-		lif: lifeOf(req),
+		inc: incarnationOf(req),
 		bhv: bhv,
 		rid: req.Header.Get(cardamompass.HeaderRequestID),
 		key: key,
@@ -85,7 +85,7 @@
 	}
 	jbb.svc = tgt.serviceTime(bhv, req.Header.Get(HeaderServiceTime))
 	if jbb.siz == 0 {
-		jbb.siz = defaultAnswerBytes
+		jbb.siz = defaultResponseBytes
 	}
 	if siz, err := strconv.ParseInt(req.Header.Get(HeaderResponseBytes), 10, 64); err == nil && siz >= 0 {
 		jbb.siz = siz
@@ -93,7 +93,7 @@
 	return jbb
 }
 
-// serviceTime returns the time that a request takes now. The caller holds the mutex.
+// serviceTime returns the time that a request takes at present. The caller holds the mutex.
 func (tgt *Target) serviceTime(bhv Behaviour, hdr string) time.Duration {
 	mls := bhv.ServiceMS
 	if num, err := strconv.ParseFloat(hdr, 64); err == nil && num >= 0 {
@@ -108,29 +108,29 @@
 	return time.Duration(mls * float64(time.Millisecond))
 }
 
-// cold reports whether the target is in its first seconds. The caller holds the mutex.
+// cold reports whether the target started less than ColdFor ago. The caller holds the mutex.
 func (tgt *Target) cold() bool { return tgt.clk.Now().Sub(tgt.sta) < tgt.cfg.ColdFor }
 
-// acquire takes a slot and returns why the request was shed otherwise.
+// acquire acquires a slot. If the request was shed instead, it returns the reason.
 func (tgt *Target) acquire(jbb *job) (reason string) {
-	tgt.present(1)
+	tgt.addPresent(1)
 	tgt.mut.Lock()
 	drn, dch := tgt.drn, tgt.dch
 	tgt.mut.Unlock()
-	rsn := tgt.take(jbb, drn, dch)
+	rsn := tgt.acquireSlot(jbb, drn, dch)
 	if rsn != "" {
-		tgt.present(-1)
+		tgt.addPresent(-1)
 	}
 	return rsn
 }
 
-func (tgt *Target) take(jbb *job, drn bool, dch <-chan struct{}) (reason string) {
+func (tgt *Target) acquireSlot(jbb *job, drn bool, dch <-chan struct{}) (reason string) {
 	if drn {
 		return "draining"
 	}
 	select {
 	case tgt.slt <- struct{}{}:
-		return tgt.confirm(jbb)
+		return tgt.startRun(jbb)
 	default:
 	}
 	if jbb.bhv.WhenFull == Shed {
@@ -138,20 +138,20 @@
 	}
 	select {
 	case tgt.slt <- struct{}{}:
-		return tgt.confirm(jbb)
+		return tgt.startRun(jbb)
 	case <-dch:
 		return "draining"
 	case <-jbb.exp:
 		return "deadline passed in the queue"
 	case <-jbb.req.Context().Done():
 		return "cancelled in the queue"
-	case <-jbb.lif.end:
+	case <-jbb.inc.end:
 		return "crashed"
 	}
 }
 
-// confirm starts the run on the slot that was taken, or gives the slot back if the request must not run any more.
-func (tgt *Target) confirm(jbb *job) (reason string) {
+// startRun starts the run on the acquired slot, or releases the slot if the request must no longer run.
+func (tgt *Target) startRun(jbb *job) (reason string) {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
 	select {
@@ -161,12 +161,12 @@
 		reason = "deadline passed in the queue"
 	case <-jbb.req.Context().Done():
 		reason = "cancelled in the queue"
-	case <-jbb.lif.end:
+	case <-jbb.inc.end:
 		reason = "crashed"
 	default:
 		jbb.run.At = tgt.clk.Now()
 		tgt.rec.start(jbb.run)
-		tgt.noteLoad()
+		tgt.recordLoad()
 		return ""
 	}
 	<-tgt.slt
@@ -176,19 +176,19 @@
 func (tgt *Target) release() {
 	tgt.mut.Lock()
 	tgt.rec.running--
-	tgt.noteLoad()
+	tgt.recordLoad()
 	tgt.mut.Unlock()
 	<-tgt.slt
-	tgt.present(-1)
+	tgt.addPresent(-1)
 }
 
-func (tgt *Target) present(num int) {
+func (tgt *Target) addPresent(num int) {
 	tgt.mut.Lock()
 	defer tgt.mut.Unlock()
-	tgt.rec.arrive(num)
+	tgt.rec.addPresent(num)
 }
 
-// execute runs the job and reports whether it is to be answered.
+// execute runs the job and reports whether a response is to be sent.
 func (tgt *Target) execute(rsw http.ResponseWriter, jbb *job) (ok bool) {
 	if jbb.cra {
 		tgt.Crash()
@@ -202,14 +202,14 @@
 		return true
 	case <-jbb.exp:
 		tgt.count(&tgt.rec.expired)
-		tgt.head(rsw, jbb)
+		tgt.setHeaders(rsw, jbb)
 		ctrl.WriteJSON(rsw, http.StatusGatewayTimeout, ctrl.ErrorBody{
 			Error:  "deadline",
 			Reason: "the deadline passed while the request ran",
 		})
 		return false
 	case <-jbb.req.Context().Done():
-	case <-jbb.lif.end:
+	case <-jbb.inc.end:
 	}
 	tgt.count(&tgt.rec.cancelled)
 	ctrl.Abort()
@@ -224,7 +224,7 @@
 
 func (tgt *Target) shed(rsw http.ResponseWriter, jbb *job, rsn string) {
 	tgt.count(&tgt.rec.shed)
-	tgt.head(rsw, jbb)
+	tgt.setHeaders(rsw, jbb)
 	rsw.Header().Set(cardamompass.HeaderShed, "true")
 	ctrl.WriteJSON(rsw, http.StatusServiceUnavailable, ctrl.ErrorBody{
 		Error:  "shed",
@@ -232,8 +232,8 @@
 	})
 }
 
-// head sets the headers of every answer to a job.
-func (tgt *Target) head(rsw http.ResponseWriter, jbb *job) {
+// setHeaders sets the headers that every response to a job has.
+func (tgt *Target) setHeaders(rsw http.ResponseWriter, jbb *job) {
 	if jbb.rid != "" {
 		rsw.Header().Set(cardamompass.HeaderRequestID, jbb.rid)
 	}
