--- a/internal/stand/fault/fault.go
+++ b/internal/stand/fault/fault.go
@@ -1,8 +1,8 @@
 // Package fault is a TCP proxy that injects network faults between two processes in tests.
 //
-// Each connection is carried by four goroutines: for each direction, one reads and one delivers in order. Faults apply
-// to both existing and new connections until they are lifted. A stream never has a gap: a connection of which bytes
-// were dropped delivers nothing more in that direction and is reset by Heal. Bytes that are delayed or held by a freeze
+// Four goroutines forward each connection: for each direction, one reads and one writes in order. Faults apply to both
+// existing and new connections until Heal ends them. A stream never has a gap: after bytes of a connection were dropped,
+// nothing more is delivered in that direction, and Heal resets the connection. Bytes that are delayed or held by a freeze
 // are delivered even if their sender has closed the connection by then. A connection whose upstream cannot be dialled is
 // accepted and reset; only Refuse makes the proxy refuse connections.
 package fault
@@ -19,13 +19,13 @@
 	"cardamompass"
 )
 
-// Direction is a direction through the proxy.
+// Direction is a direction of data through the proxy.
 type Direction int
 
 const (
-	// Up is the direction from the side that dials to the upstream.
+	// Up is the direction from the client to the upstream.
 	Up Direction = iota
-	// Down is the direction from the upstream to the side that dials.
+	// Down is the direction from the upstream to the client.
 	Down
 )
 
@@ -34,12 +34,12 @@
 
 // Config describes a proxy.
 type Config struct {
-	// Address is the host:port, by IP number, to listen at; port 0 takes any.
+	// Address is the IP address and port to listen at; port 0 means any free port.
 	Address string
-	// Upstream is the host:port, by IP number, to which connections are carried.
+	// Upstream is the IP address and port to which connections are forwarded.
 	Upstream string
-	// SendBuffer bounds the bytes that count as delivered towards the side that dials while they wait for it in the
-	// system's send buffer, which holds up to twice as many. Zero means the system's choice, up to some megabytes.
+	// SendBuffer bounds the bytes that count as delivered to the client while they wait in the system's send buffer,
+	// which holds up to twice as many. Zero means the system's choice, up to some megabytes.
 	SendBuffer int
 	// Clock gives the time of delays. Nil means the system's clock.
 	Clock cardamompass.Clock
@@ -47,17 +47,17 @@
 
 // Stats are counts since the start.
 type Stats struct {
-	// Connections is the number of connections that were accepted and carried, Open those that are still open.
+	// Connections is the number of connections that were accepted and forwarded, Open the number of those that are still open.
 	Connections int64
 	Open        int64
-	// BytesUp and BytesDown were delivered, DroppedUp and DroppedDown were dropped.
+	// BytesUp and BytesDown are the bytes delivered, DroppedUp and DroppedDown the bytes dropped.
 	BytesUp     int64
 	BytesDown   int64
 	DroppedUp   int64
 	DroppedDown int64
 }
 
-// Proxy is a proxy. It is safe for concurrent use.
+// Proxy is a TCP proxy with fault injection. It is safe for concurrent use.
 type Proxy struct {
 	cfg Config
 	adr string
@@ -69,18 +69,18 @@
 	mut sync.Mutex
 	cls bool
 	lsn net.Listener
-	lks map[*link]struct{}
+	prs map[*connPair]struct{}
 	pol policy
 	// chg is closed and replaced when the policy changes.
 	chg chan struct{}
 }
 
-// policy is the set of faults in force. It is immutable.
+// policy is the set of active faults. It is immutable.
 type policy struct {
-	cut   bool
-	froze bool
-	drop  [2]bool
-	delay [2]time.Duration
+	cut    bool
+	frozen bool
+	drop   [2]bool
+	delay  [2]time.Duration
 }
 
 // New starts a proxy. The clean-up function closes it with all connections and waits for all of its goroutines.
@@ -94,7 +94,7 @@
 	}
 	prx = &Proxy{
 		cfg: cfg,
-		lks: map[*link]struct{}{},
+		prs: map[*connPair]struct{}{},
 		chg: make(chan struct{}),
 	}
 	lsn, err := listen(cfg.Address)
@@ -109,24 +109,24 @@
 // Address returns the host:port at which the proxy listens.
 func (prx *Proxy) Address() string { return prx.adr }
 
-// SetDelay delays the bytes that arrive from now on in a direction. A long delay is a late delivery.
+// SetDelay delays the bytes that arrive from now on in a direction.
 func (prx *Proxy) SetDelay(dir Direction, dur time.Duration) {
-	prx.change(func(pol *policy) { pol.delay[dir] = dur })
+	prx.update(func(pol *policy) { pol.delay[dir] = dur })
 }
 
-// Drop silently drops the bytes of one direction, the end of the stream included: a one-way cut.
-func (prx *Proxy) Drop(dir Direction) { prx.change(func(pol *policy) { pol.drop[dir] = true }) }
+// Drop silently drops the bytes of one direction, including the end of the stream, as in a one-way network partition.
+func (prx *Proxy) Drop(dir Direction) { prx.update(func(pol *policy) { pol.drop[dir] = true }) }
 
-// Freeze holds all bytes of both directions.
-func (prx *Proxy) Freeze() { prx.change(func(pol *policy) { pol.froze = true }) }
+// Freeze holds back all bytes of both directions.
+func (prx *Proxy) Freeze() { prx.update(func(pol *policy) { pol.frozen = true }) }
 
-// Resume delivers what Freeze held and ends the freeze.
-func (prx *Proxy) Resume() { prx.change(func(pol *policy) { pol.froze = false }) }
+// Resume ends a freeze and delivers the bytes that it held back.
+func (prx *Proxy) Resume() { prx.update(func(pol *policy) { pol.frozen = false }) }
 
 // Cut resets all connections, and every new one as soon as it is accepted.
 func (prx *Proxy) Cut() {
-	prx.change(func(pol *policy) { pol.cut = true })
-	prx.reset(func(*link) bool { return true })
+	prx.update(func(pol *policy) { pol.cut = true })
+	prx.reset(func(*connPair) bool { return true })
 }
 
 // Refuse closes the listener, so that new connections are refused, and resets all connections.
@@ -137,14 +137,14 @@
 		prx.lsn = nil
 	}
 	prx.mut.Unlock()
-	prx.reset(func(*link) bool { return true })
+	prx.reset(func(*connPair) bool { return true })
 }
 
-// Heal lifts all faults and resets the connections that lost bytes. It listens again after Refuse.
+// Heal ends all faults and resets the connections of which bytes were dropped. After Refuse it listens again.
 func (prx *Proxy) Heal() (err error) {
 	defer func() { err = errors.Wrap(err, "heal") }()
-	prx.reset(func(lnk *link) bool { return lnk.gap[Up].Load() || lnk.gap[Down].Load() })
-	prx.change(func(pol *policy) { *pol = policy{} })
+	prx.reset(func(par *connPair) bool { return par.gap[Up].Load() || par.gap[Down].Load() })
+	prx.update(func(pol *policy) { *pol = policy{} })
 	prx.mut.Lock()
 	defer prx.mut.Unlock()
 	if prx.lsn != nil || prx.cls {
@@ -161,7 +161,7 @@
 // Stats returns the counts.
 func (prx *Proxy) Stats() Stats {
 	prx.mut.Lock()
-	opn := int64(len(prx.lks))
+	opn := int64(len(prx.prs))
 	prx.mut.Unlock()
 	return Stats{
 		Connections: prx.num.Load(),
@@ -177,8 +177,8 @@
 	return net.Listen("tcp", address) //nolint:noctx // the listener lives until the proxy closes it
 }
 
-// change applies fnc to the policy and wakes the goroutines that wait for a change.
-func (prx *Proxy) change(fnc func(pol *policy)) {
+// update applies fnc to the policy and wakes the goroutines that wait for an update of it.
+func (prx *Proxy) update(fnc func(pol *policy)) {
 	prx.mut.Lock()
 	defer prx.mut.Unlock()
 	fnc(&prx.pol)
@@ -193,12 +193,12 @@
 }
 
 // reset resets the connections for which fnc is true.
-func (prx *Proxy) reset(fnc func(*link) bool) {
+func (prx *Proxy) reset(fnc func(*connPair) bool) {
 	prx.mut.Lock()
 	defer prx.mut.Unlock()
-	for lnk := range prx.lks {
-		if fnc(lnk) {
-			lnk.kill()
+	for par := range prx.prs {
+		if fnc(par) {
+			par.reset()
 		}
 	}
 }
@@ -212,7 +212,7 @@
 			if err != nil {
 				return
 			}
-			prx.wgr.Go(func() { prx.carry(con) })
+			prx.wgr.Go(func() { prx.forward(con) })
 		}
 	})
 }
@@ -224,6 +224,6 @@
 		_ = prx.lsn.Close()
 	}
 	prx.mut.Unlock()
-	prx.reset(func(*link) bool { return true })
+	prx.reset(func(*connPair) bool { return true })
 	prx.wgr.Wait()
 }
--- a/internal/stand/fault/fault_test.go
+++ b/internal/stand/fault/fault_test.go
@@ -20,7 +20,7 @@
 	t   *testing.T
 	prx *fault.Proxy
 	clk *ctrl.ManualClock
-	// acc delivers the connections that arrive at the upstream.
+	// acc receives the connections that the upstream accepts.
 	acc chan net.Conn
 }
 
@@ -78,14 +78,14 @@
 	return cli, ups
 }
 
-// echo checks that bytes pass in both directions.
+// echo checks that bytes are forwarded in both directions.
 func (fix fixture) echo(cli, ups net.Conn) {
 	fix.t.Helper()
-	fix.pass(cli, ups, "up")
-	fix.pass(ups, cli, "down")
+	fix.send(cli, ups, "up")
+	fix.send(ups, cli, "down")
 }
 
-func (fix fixture) pass(src, dst net.Conn, txt string) {
+func (fix fixture) send(src, dst net.Conn, txt string) {
 	fix.t.Helper()
 	_, _ = io.WriteString(src, txt)
 	fix.read(dst, txt)
@@ -100,8 +100,8 @@
 	}
 }
 
-// broken checks that a connection ends with an error that is not an orderly end.
-func (fix fixture) broken(con net.Conn) {
+// expectReset checks that a connection ends with an error other than an orderly end or a timeout.
+func (fix fixture) expectReset(con net.Conn) {
 	fix.t.Helper()
 	_ = con.SetReadDeadline(time.Now().Add(20 * time.Second))
 	_, err := con.Read(make([]byte, 1))
@@ -121,12 +121,12 @@
 	fix.t.Fatalf("condition not reached: %+v", fix.prx.Stats())
 }
 
-// Guards against bytes that are delivered before their delay, or lost when their sender closes first.
+// Guards against bytes that are delivered before their delay, and against losing them when their sender closes first.
 func TestLateDelivery(t *testing.T) {
 	fix := start(t)
 	cli, ups := fix.pair()
 	fix.prx.SetDelay(fault.Up, time.Minute)
-	fix.pass(ups, cli, "the other direction is not delayed")
+	fix.send(ups, cli, "the other direction is not delayed")
 	_, _ = io.WriteString(cli, "late")
 	cli.(*net.TCPConn).CloseWrite()
 	fix.clk.AwaitTimers(1)
@@ -137,51 +137,51 @@
 	fix.read(ups, "late")
 }
 
-// Guards against a freeze that loses bytes or lets them pass.
+// Guards against a freeze that loses or forwards bytes.
 func TestFreeze(t *testing.T) {
 	fix := start(t)
 	cli, ups := fix.pair()
 	fix.prx.Freeze()
 	_, _ = io.WriteString(cli, "held")
 	_, _ = io.WriteString(ups, "too")
-	// The short deadline can only hide a fault, not report a false one.
+	// The short deadline may miss a fault but cannot cause a false failure.
 	_ = ups.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if num, err := ups.Read(make([]byte, 1)); num > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("bytes passed a freeze: %v", err)
+		t.Fatalf("bytes were forwarded during a freeze: %v", err)
 	}
 	if sts := fix.prx.Stats(); sts.BytesUp != 2 || sts.BytesDown != 4 {
-		t.Fatalf("bytes passed a freeze: %+v", sts)
+		t.Fatalf("bytes were forwarded during a freeze: %+v", sts)
 	}
 	fix.prx.Resume()
 	fix.read(ups, "held")
 	fix.read(cli, "too")
 }
 
-// Guards against a one-way cut that stops both directions, and against a stream with a gap after Heal.
+// Guards against a one-way drop that affects both directions, and against a stream with a gap after Heal.
 func TestOneWayCut(t *testing.T) {
 	fix := start(t)
 	cli, ups := fix.pair()
 	fix.prx.Drop(fault.Up)
 	_, _ = io.WriteString(cli, "lost")
 	fix.until(func(sts fault.Stats) bool { return sts.DroppedUp == 4 })
-	fix.pass(ups, cli, "still passes")
+	fix.send(ups, cli, "still passes")
 	if err := fix.prx.Heal(); err != nil {
 		t.Fatal(err)
 	}
-	fix.broken(cli)
+	fix.expectReset(cli)
 	fix.pair()
 }
 
-// Guards against a cut that spares connections, and a heal that does not bring them back.
+// Guards against a Cut that keeps connections open, and against a Heal after which connections still fail.
 func TestCutAndRefuse(t *testing.T) {
 	fix := start(t)
 	cli, ups := fix.pair()
 	fix.prx.Cut()
-	fix.broken(cli)
-	fix.broken(ups)
+	fix.expectReset(cli)
+	fix.expectReset(ups)
 	con, err := net.Dial("tcp", fix.prx.Address())
 	if err == nil {
-		fix.broken(con)
+		fix.expectReset(con)
 		con.Close()
 	}
 	if err := fix.prx.Heal(); err != nil {
@@ -189,10 +189,10 @@
 	}
 	cli, _ = fix.pair()
 	fix.prx.Refuse()
-	fix.broken(cli)
+	fix.expectReset(cli)
 	if con, err := net.Dial("tcp", fix.prx.Address()); err == nil {
 		con.Close()
-		t.Fatal("the port is open after Refuse")
+		t.Fatal("the port still accepts connections after Refuse")
 	}
 	if err := fix.prx.Heal(); err != nil {
 		t.Fatal(err)
--- a/internal/stand/kvsrv/kvsrv.go
+++ b/internal/stand/kvsrv/kvsrv.go
@@ -1,8 +1,8 @@
-// Package kvsrv is a stand-in of the platform's key-value store for tests and the demo.
+// Package kvsrv simulates the platform's key-value store for tests and the demo.
 //
 // It keeps values and leases in memory, serves the HTTP interface of section 6 of the design page, counts the calls by
-// kind, and injects faults: outage, slowness, answers lost after the write took effect, rate limits and a return to an
-// older state. Time comes from a Clock. Faults are set by methods or below /control/.
+// kind, and injects faults: outages, delays, replies lost after the write took effect, rate limits and the restoration of
+// an older state. Time comes from a Clock. Faults are set by methods or below /control/.
 package kvsrv
 
 import (
@@ -18,10 +18,10 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// Kind is a kind of calls that are counted.
+// Kind is a kind of call, for counting.
 type Kind string
 
-// The kinds of calls. A call counts under its own kind, and in addition under KindLimited or KindDropped.
+// Kinds of calls. A call counts under its own kind, and in addition under KindLimited or KindDropped.
 const (
 	KindGet     Kind = "get"
 	KindPut     Kind = "put"
@@ -32,11 +32,11 @@
 	KindRevoke  Kind = "revoke"
 	// KindLimited counts the calls refused with status 429.
 	KindLimited Kind = "limited"
-	// KindDropped counts the calls whose connection was closed without an answer.
+	// KindDropped counts the calls whose connection was closed without a reply.
 	KindDropped Kind = "dropped"
 )
 
-func (knd Kind) write() bool {
+func (knd Kind) isWrite() bool {
 	return knd == KindPut || knd == KindGrant || knd == KindRenew || knd == KindRevoke
 }
 
@@ -44,23 +44,23 @@
 type Config struct {
 	// Clock gives the time of leases, watches, delays and rates. Nil means the system's clock.
 	Clock cardamompass.Clock
-	// Faults are the faults at the start.
+	// Faults are the initial faults.
 	Faults Faults
 }
 
-// Faults are the faults that are in force. The zero value is a store without faults.
+// Faults are the faults to inject. The zero value injects none.
 type Faults struct {
-	// Outage closes every connection without an answer and without an effect, those of waiting watches included.
+	// Outage closes every connection, including those of waiting watches, without a reply and without an effect.
 	Outage bool `json:"outage"`
 	// SlowMS delays every call by this many milliseconds before its effect. A write takes effect even if its caller
-	// has gone by then.
+	// has disconnected by then.
 	SlowMS int64 `json:"slow-ms"`
-	// LoseNext is the number of coming writes whose answers are lost after they took effect.
+	// LoseNext is the number of coming writes whose replies are lost after they took effect.
 	LoseNext int `json:"lose-next"`
-	// LosePrefix makes the answers of all writes of keys with this prefix be lost after they took effect; leases have
-	// keys that start with "leases/". Empty means none.
+	// LosePrefix loses the replies of all writes to keys with this prefix after they took effect; keys of leases start
+	// with "leases/". Empty means none.
 	LosePrefix string `json:"lose-prefix"`
-	// WritesPerSecond and ReadsPerSecond limit the calls, with bursts of a tenth of a second. Zero means no limit.
+	// WritesPerSecond and ReadsPerSecond limit the rate of calls, with bursts of a tenth of a second's calls. Zero means no limit.
 	WritesPerSecond int `json:"writes-per-second"`
 	ReadsPerSecond  int `json:"reads-per-second"`
 }
@@ -76,7 +76,7 @@
 	mut sync.Mutex
 	cls bool
 	sta state
-	// chg is closed and replaced whenever a waiting watch has to look again.
+	// chg is closed and replaced whenever waiting watches must read the state again.
 	chg chan struct{}
 	cnt map[Kind]int64
 	flt Faults
@@ -105,17 +105,17 @@
 // ServeHTTP implements http.Handler.
 func (srv *Server) ServeHTTP(rsw http.ResponseWriter, req *http.Request) { srv.hnd.ServeHTTP(rsw, req) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (srv *Server) SetFaults(flt Faults) {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
 	srv.flt = flt
 	srv.wri = newLimiter(flt.WritesPerSecond)
 	srv.rea = newLimiter(flt.ReadsPerSecond)
-	srv.wake()
+	srv.wakeWatches()
 }
 
-// Faults returns the faults in force; LoseNext is what is left of it.
+// Faults returns the current faults. LoseNext is the number of replies that are still to be lost.
 func (srv *Server) Faults() Faults {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
@@ -143,13 +143,13 @@
 	return srv.sta.snapshot()
 }
 
-// Restore replaces the state by an older one. Revisions continue from that state, as after the restoration of a backup:
-// a revision may then name two contents. A lease whose time has passed in the meantime stays lapsed.
+// Restore replaces the state by an older one. Revisions continue from that state, as after the restoration of a backup,
+// so that one revision may stand for two different contents. A lease whose TTL has passed in the meantime stays expired.
 func (srv *Server) Restore(snp Snapshot) {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
 	srv.sta = snp.state()
-	srv.wake()
+	srv.wakeWatches()
 }
 
 func newLimiter(perSecond int) *rate.Limiter {
@@ -159,21 +159,21 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, perSecond/10))
 }
 
-// wake makes waiting watches look again. The caller holds the mutex.
-func (srv *Server) wake() {
+// wakeWatches makes waiting watches read the state again. The caller holds the mutex.
+func (srv *Server) wakeWatches() {
 	close(srv.chg)
 	srv.chg = make(chan struct{})
 }
 
-// reply is the answer to a call.
+// reply is the reply to a call.
 type reply struct {
 	status int
 	body   any
-	// drop closes the connection in place of the answer.
+	// drop closes the connection instead of replying.
 	drop bool
 }
 
-func failed(status int, code, reason string) reply {
+func errorReply(status int, code, reason string) reply {
 	return reply{
 		status: status,
 		body: ctrl.ErrorBody{
@@ -183,10 +183,11 @@
 	}
 }
 
-// call counts a call, applies the faults that come before its effect and answers with what fnc returns.
+// call returns a handler that counts the call, applies the faults that precede its effect and replies with the result of
+// fnc.
 func (srv *Server) call(knd Kind, fnc func(*http.Request) reply) http.HandlerFunc {
 	return func(rsw http.ResponseWriter, req *http.Request) {
-		if !srv.enter() {
+		if !srv.addCall() {
 			ctrl.Abort()
 		}
 		defer srv.wgr.Done()
@@ -202,7 +203,7 @@
 	}
 }
 
-func (srv *Server) enter() (ok bool) {
+func (srv *Server) addCall() (ok bool) {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
 	if srv.cls {
@@ -226,7 +227,7 @@
 	srv.cnt[knd]++
 }
 
-// admit returns the zero reply for a call that may go on.
+// admit returns the zero reply for a call that may continue.
 func (srv *Server) admit(knd Kind) reply {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
@@ -237,19 +238,19 @@
 		}
 	}
 	lim := srv.rea
-	if knd.write() {
+	if knd.isWrite() {
 		lim = srv.wri
 	}
 	if !lim.AllowN(srv.clk.Now(), 1) {
 		srv.cnt[KindLimited]++
-		return failed(http.StatusTooManyRequests, "rate-limited", "too many calls")
+		return errorReply(http.StatusTooManyRequests, "rate-limited", "too many calls")
 	}
 	return reply{}
 }
 
-// delay waits for the slowness in force and reports whether the call may go on. A nil channel gone ignores that the
-// caller leaves.
-func (srv *Server) delay(gone <-chan struct{}) (ok bool) {
+// delay waits for the configured delay and reports whether the call may continue. If the channel canceled is nil, the call
+// continues after its caller has disconnected.
+func (srv *Server) delay(canceled <-chan struct{}) (ok bool) {
 	dur := time.Duration(srv.Faults().SlowMS) * time.Millisecond
 	if dur <= 0 {
 		return true
@@ -259,15 +260,15 @@
 	select {
 	case <-tmr.C():
 		return true
-	case <-gone:
+	case <-canceled:
 		return false
 	case <-srv.end:
 		return false
 	}
 }
 
-// change runs a write after the delay and drops its answer if it took effect and the faults say so.
-func (srv *Server) change(key string, fnc func(now time.Time) reply) reply {
+// applyWrite runs a write after the delay. If the write took effect, its reply is dropped as the faults specify.
+func (srv *Server) applyWrite(key string, fnc func(now time.Time) reply) reply {
 	if !srv.delay(nil) {
 		return reply{
 			drop: true,
@@ -284,7 +285,7 @@
 	if rpl.status != http.StatusOK {
 		return rpl
 	}
-	srv.wake()
+	srv.wakeWatches()
 	if srv.flt.LoseNext > 0 {
 		srv.flt.LoseNext--
 		rpl.drop = true
--- a/internal/stand/kvsrv/kvsrv_test.go
+++ b/internal/stand/kvsrv/kvsrv_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Guards against a lost answer whose write did not take effect, and against answers lost beyond the number or prefix
-// that was asked for.
+// Guards against a lost reply whose write did not take effect, and against lost replies beyond the configured number or
+// prefix.
 func TestLostAnswers(t *testing.T) {
 	ctx := context.Background()
 	tests := []struct {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Guards against a compare-and-swap that does not compare, and a restored store that keeps later writes.
+// Guards against a compare-and-swap that ignores the revision, and against a restored store that keeps later writes.
 func TestSwapAndRestore(t *testing.T) {
 	ctx := context.Background()
 	fix := start(t, kvsrv.Faults{})
@@ -102,7 +102,7 @@
 	}
 	var cfe *cardamompass.ConflictError
 	if _, err = fix.kst.Put(ctx, "k", []byte("late"), old.Revision); !errors.As(err, &cfe) || cfe.Have <= old.Revision {
-		t.Fatalf("late write: %v", err)
+		t.Fatalf("write with an old revision: %v", err)
 	}
 	fix.srv.Restore(snp)
 	if val, err := fix.kst.Get(ctx, "k"); err != nil || string(val.Data) != "old" || val.Revision != old.Revision {
@@ -128,7 +128,7 @@
 	fix.clk.Advance(time.Minute)
 	var nfe *cardamompass.NotFoundError
 	if _, err = fix.kst.Renew(ctx, lse.ID); !errors.As(err, &nfe) {
-		t.Fatalf("renewal of a lapsed lease: %v", err)
+		t.Fatalf("renewal of an expired lease: %v", err)
 	}
 	if lse, err = fix.kst.Grant(ctx, time.Minute); err != nil {
 		t.Fatal(err)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Guards against a slow write that is undone because its caller left.
+// Guards against a slow write that is cancelled because its caller disconnected.
 func TestSlowWriteTakesEffect(t *testing.T) {
 	fix := start(t, kvsrv.Faults{
 		SlowMS: 1000,
@@ -156,7 +156,7 @@
 	cancel()
 	var wue *cardamompass.WriteUnknownError
 	if err := <-res; !errors.As(err, &wue) {
-		t.Fatalf("put whose caller left: %v", err)
+		t.Fatalf("put whose caller disconnected: %v", err)
 	}
 	fix.clk.Advance(time.Second)
 	fix.srv.SetFaults(kvsrv.Faults{})
@@ -166,7 +166,7 @@
 	}
 }
 
-// Guards against limits and value sizes that are not kept, and against faults that cannot be set over HTTP.
+// Guards against rate limits and value sizes that are not enforced, and against faults that cannot be set over HTTP.
 func TestLimitsOverHTTP(t *testing.T) {
 	fix := start(t, kvsrv.Faults{})
 	call := func(method, path, body string) int {
--- a/internal/stand/kvsrv/routes.go
+++ b/internal/stand/kvsrv/routes.go
@@ -12,8 +12,8 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// maxWait bounds the time that a watch may ask for.
-const maxWait = time.Minute
+// maxWatchTime is the longest time that a watch waits.
+const maxWatchTime = time.Minute
 
 func (srv *Server) routes() http.Handler {
 	rtr := ctrl.NewRouter()
@@ -71,12 +71,12 @@
 	key := ctrl.Var(req, "key")
 	want, err := strconv.ParseInt(req.Header.Get("If-Match"), 10, 64)
 	if err != nil || want < 0 {
-		return failed(http.StatusBadRequest, "invalid", "If-Match must be a revision")
+		return errorReply(http.StatusBadRequest, "invalid", "If-Match must be a revision")
 	}
 	var bdy struct {
 		Value []byte `json:"value"`
 	}
-	// Twice the largest value holds its base64 form; a longer body is a value that is too large.
+	// The base64 encoding of the largest value fits into twice its size, so a longer body holds a value that is too large.
 	dat, err := io.ReadAll(io.LimitReader(req.Body, 2*cardamompass.MaxValueBytes+1))
 	if err != nil {
 		return reply{
@@ -84,46 +84,46 @@
 		}
 	}
 	if len(dat) > 2*cardamompass.MaxValueBytes {
-		return failed(http.StatusRequestEntityTooLarge, "too-large", "the body is too long")
+		return errorReply(http.StatusRequestEntityTooLarge, "too-large", "the body is too long")
 	}
 	if err = json.Unmarshal(dat, &bdy); err != nil {
-		return failed(http.StatusBadRequest, "invalid", err.Error())
+		return errorReply(http.StatusBadRequest, "invalid", err.Error())
 	}
-	return srv.change(key, func(time.Time) reply { return srv.sta.put(key, bdy.Value, want) })
+	return srv.applyWrite(key, func(time.Time) reply { return srv.sta.put(key, bdy.Value, want) })
 }
 
 func (srv *Server) watch(req *http.Request) reply {
 	after, err := strconv.ParseInt(req.FormValue("after-revision"), 10, 64)
 	if err != nil {
-		return failed(http.StatusBadRequest, "invalid", "after-revision must be a revision")
+		return errorReply(http.StatusBadRequest, "invalid", "after-revision must be a revision")
 	}
 	wms, err := strconv.ParseInt(req.FormValue("wait-ms"), 10, 64)
 	if err != nil || wms < 0 {
-		return failed(http.StatusBadRequest, "invalid", "wait-ms must be a time")
+		return errorReply(http.StatusBadRequest, "invalid", "wait-ms must be a time")
 	}
-	gon := req.Context().Done()
-	if !srv.delay(gon) {
+	don := req.Context().Done()
+	if !srv.delay(don) {
 		return reply{
 			drop: true,
 		}
 	}
-	wait := min(time.Duration(min(wms, maxWait.Milliseconds()))*time.Millisecond, maxWait)
-	return srv.wait(ctrl.Var(req, "key"), after, wait, gon)
+	wait := min(time.Duration(min(wms, maxWatchTime.Milliseconds()))*time.Millisecond, maxWatchTime)
+	return srv.wait(ctrl.Var(req, "key"), after, wait, don)
 }
 
-func (srv *Server) wait(key string, after int64, wait time.Duration, gon <-chan struct{}) reply {
+func (srv *Server) wait(key string, after int64, wait time.Duration, don <-chan struct{}) reply {
 	tmr := srv.clk.NewTimer(wait)
 	defer tmr.Stop()
 	for over := wait == 0; ; {
-		rpl, chg, don := srv.look(key, after)
-		if don || over {
+		rpl, chg, fin := srv.poll(key, after)
+		if fin || over {
 			return rpl
 		}
 		select {
 		case <-chg:
 		case <-tmr.C():
 			over = true
-		case <-gon:
+		case <-don:
 			return reply{
 				drop: true,
 			}
@@ -135,8 +135,9 @@
 	}
 }
 
-// look returns the answer of a watch as of now, whether it ends the watch, and a channel that tells when to look again.
-func (srv *Server) look(key string, after int64) (rpl reply, chg <-chan struct{}, done bool) {
+// poll returns the current reply to a watch, a channel that is closed when the state must be read again, and whether the
+// watch is done.
+func (srv *Server) poll(key string, after int64) (rpl reply, chg <-chan struct{}, done bool) {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
 	if srv.flt.Outage {
@@ -156,23 +157,23 @@
 		err = json.Unmarshal(dat, &bdy)
 	}
 	if err != nil || bdy.TTL <= 0 {
-		return failed(http.StatusBadRequest, "invalid", "ttl-ms must be a positive time")
+		return errorReply(http.StatusBadRequest, "invalid", "ttl-ms must be a positive time")
 	}
-	// Random ids stay unique when the store returns to an older state.
+	// Random ids stay unique after the restoration of an older state.
 	id := cardamompass.LeaseID(rand.Text())
-	return srv.change(leaseKey(id), func(now time.Time) reply {
+	return srv.applyWrite(leaseKey(id), func(now time.Time) reply {
 		return srv.sta.grant(id, time.Duration(bdy.TTL)*time.Millisecond, now)
 	})
 }
 
 func (srv *Server) renew(req *http.Request) reply {
 	id := cardamompass.LeaseID(ctrl.Var(req, "id"))
-	return srv.change(leaseKey(id), func(now time.Time) reply { return srv.sta.renew(id, now) })
+	return srv.applyWrite(leaseKey(id), func(now time.Time) reply { return srv.sta.renew(id, now) })
 }
 
 func (srv *Server) revoke(req *http.Request) reply {
 	id := cardamompass.LeaseID(ctrl.Var(req, "id"))
-	return srv.change(leaseKey(id), func(now time.Time) reply { return srv.sta.revoke(id, now) })
+	return srv.applyWrite(leaseKey(id), func(now time.Time) reply { return srv.sta.revoke(id, now) })
 }
 
 func (srv *Server) inspect(req *http.Request) reply {
@@ -183,7 +184,7 @@
 	}
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
-	return srv.sta.live(cardamompass.LeaseID(ctrl.Var(req, "id")), srv.clk.Now())
+	return srv.sta.lease(cardamompass.LeaseID(ctrl.Var(req, "id")), srv.clk.Now())
 }
 
 func leaseKey(id cardamompass.LeaseID) string { return "leases/" + string(id) }
--- a/internal/stand/kvsrv/state.go
+++ b/internal/stand/kvsrv/state.go
@@ -10,7 +10,7 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// Value is a stored value. Its JSON is also the answer of the store.
+// Value is a stored value. Its JSON encoding is also the store's reply.
 type Value struct {
 	Key      string `json:"key"`
 	Data     []byte `json:"value"`
@@ -23,14 +23,14 @@
 	ExpiresAt time.Time     `json:"end"`
 }
 
-// Snapshot is the whole state of the store at one moment. It is immutable.
+// Snapshot is the complete state of the store at one point in time. It is immutable.
 type Snapshot struct {
 	Revision int64                          `json:"revision"`
 	Values   map[string]Value               `json:"values"`
 	Leases   map[cardamompass.LeaseID]Lease `json:"leases"`
 }
 
-// state is a Snapshot that changes. Data slices are never written to after they were stored.
+// state is a mutable Snapshot. Data slices are not modified after they were stored.
 type state struct {
 	Snapshot
 }
@@ -62,7 +62,7 @@
 
 func (sta *state) put(key string, dat []byte, want int64) reply {
 	if len(dat) > cardamompass.MaxValueBytes {
-		return failed(http.StatusRequestEntityTooLarge, "too-large", strconv.Itoa(len(dat))+" bytes")
+		return errorReply(http.StatusRequestEntityTooLarge, "too-large", strconv.Itoa(len(dat))+" bytes")
 	}
 	hav := sta.Values[key].Revision
 	if hav != want {
@@ -93,7 +93,7 @@
 func (sta *state) get(key string) reply {
 	val, ok := sta.Values[key]
 	if !ok {
-		return failed(http.StatusNotFound, "not-found", "no such key")
+		return errorReply(http.StatusNotFound, "not-found", "no such key")
 	}
 	return reply{
 		status: http.StatusOK,
@@ -101,11 +101,11 @@
 	}
 }
 
-// live returns the answer for lease id, status 404 if it has lapsed.
-func (sta *state) live(id cardamompass.LeaseID, now time.Time) reply {
+// lease returns the reply for a lease, status 404 if it has expired.
+func (sta *state) lease(id cardamompass.LeaseID, now time.Time) reply {
 	lse, ok := sta.Leases[id]
 	if !ok || !now.Before(lse.ExpiresAt) {
-		return failed(http.StatusNotFound, "not-found", "no such live lease")
+		return errorReply(http.StatusNotFound, "not-found", "no such live lease")
 	}
 	return reply{
 		status: http.StatusOK,
@@ -122,11 +122,11 @@
 		TTL:       ttl,
 		ExpiresAt: now.Add(ttl),
 	}
-	return sta.live(id, now)
+	return sta.lease(id, now)
 }
 
 func (sta *state) renew(id cardamompass.LeaseID, now time.Time) reply {
-	rpl := sta.live(id, now)
+	rpl := sta.lease(id, now)
 	if rpl.status != http.StatusOK {
 		return rpl
 	}
@@ -134,7 +134,7 @@
 }
 
 func (sta *state) revoke(id cardamompass.LeaseID, now time.Time) reply {
-	rpl := sta.live(id, now)
+	rpl := sta.lease(id, now)
 	delete(sta.Leases, id)
 	return rpl
 }
