--- a/internal/stand/procs/control.go
+++ b/internal/stand/procs/control.go
@@ -14,10 +14,10 @@
 	"cardamompass/internal/stand/target"
 )
 
-// controlTimeout bounds one call to a control or operators' address.
+// controlTimeout bounds a call to a control address or an operator address.
 const controlTimeout = 10 * time.Second
 
-// Control calls a stand-in's or an entry VM's HTTP interface with JSON. Nil bodies are not sent or not read.
+// Control calls the HTTP interface of a stand-in or an entry VM with JSON. A nil body is not sent, a nil reply is not read.
 func Control(address, method, path string, body, reply any) (err error) {
 	return call(controlTimeout, address, method, path, body, reply)
 }
@@ -54,7 +54,7 @@
 	return json.Unmarshal(data, reply)
 }
 
-// SetFaults puts faults of the store in force.
+// SetFaults replaces the store's faults.
 func (str *Store) SetFaults(flt kvsrv.Faults) (err error) {
 	return Control(str.Address, http.MethodPut, "/control/faults", flt, nil)
 }
@@ -88,7 +88,7 @@
 	}, nil)
 }
 
-// InjectFaults makes the next answers of the target faulty.
+// InjectFaults applies a fault to the given number of the target's coming responses.
 func (tgt *Target) InjectFaults(flt target.Fault, times int) (err error) {
 	return Control(tgt.ControlAddress, http.MethodPost, "/control/answer-faults", map[string]any{
 		"fault": flt,
--- a/internal/stand/procs/doc.go
+++ b/internal/stand/procs/doc.go
@@ -1,9 +1,9 @@
-// Package procs starts a site as separate processes for tests: the stand-ins of the platform and of targets, and entry
-// VMs, with fault proxies between them on request.
+// Package procs runs a site as separate processes for tests: the simulated platform and targets, and entry VMs,
+// optionally with fault proxies between them.
 //
-// The programs are built once for each test binary. Each process writes its output to a file of its own, from which its
-// addresses are read. A process keeps its addresses when it is started again. Signals go to one process by its own id,
-// and the clean-up function ends exactly the processes that the package started.
+// The programs are built once for each test binary. Each process writes its output to its own file, from which its
+// addresses are read. A process keeps its addresses across restarts. Signals are sent to a single process by its id, and
+// the clean-up function ends exactly the processes that the package started.
 package procs
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/pkg/errors"
 )
 
-// programs holds the programs of this test binary.
+// programs is the directory of the programs that this test binary has built.
 var programs struct {
 	once sync.Once
 	dir  string
 	err  error
 }
 
-// Main runs the tests and removes the programs that they built. TestMain calls it and exits with its result.
+// Main runs the tests and removes the programs that they built. TestMain calls it and exits with the code that it returns.
 func Main(mmm *testing.M) (code int) {
 	code = mmm.Run()
 	if programs.dir != "" {
@@ -32,7 +32,7 @@
 	return code
 }
 
-// program returns the path of a built program of cmd.
+// program returns the path of a program below cmd, which it builds if necessary.
 func program(name string) (path string, err error) {
 	programs.once.Do(func() { programs.dir, programs.err = build() })
 	return filepath.Join(programs.dir, name), programs.err
--- a/internal/stand/procs/port.go
+++ b/internal/stand/procs/port.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// firstPort and lastPort lie below the ports that the system gives to outgoing connections. A process that starts
-	// again finds its port free.
+	// firstPort and lastPort lie below the system's range for outgoing connections, so that a process finds its port free
+	// after a restart.
 	firstPort = 12000
 	lastPort  = 32000
 	portTries = 200
 )
 
-// ports are the ports that this test binary has handed out.
+// ports holds the ports that this test binary has assigned.
 var ports struct {
 	mut   sync.Mutex
 	taken map[int]bool
--- a/internal/stand/procs/process.go
+++ b/internal/stand/procs/process.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// readyTime bounds the wait for a process or a site to be ready, on a busy machine.
+	// readyTime bounds the wait for a process or a site to be ready. It allows for a busy machine.
 	readyTime = 30 * time.Second
-	// pollTime is the time between two looks at something that is awaited.
+	// pollTime is the interval at which an awaited condition is checked.
 	pollTime = 10 * time.Millisecond
 )
 
-// Process is a program that was started. It is safe for concurrent use.
+// Process is a program that can be started and restarted. It is safe for concurrent use.
 type Process struct {
 	name string
 	path string
@@ -30,9 +30,9 @@
 
 	mut sync.Mutex
 	cmd *exec.Cmd
-	// off is the size of the log at the last start.
+	// off is the size of the log file at the last start.
 	off int64
-	// end is closed when the process has ended; err is how.
+	// end is closed when the process has ended; err is the result of its Wait.
 	end chan struct{}
 	err error
 }
@@ -48,22 +48,22 @@
 	}, err
 }
 
-// NewProcess prepares a process of a program of this repository that logs below dir, and returns the function that ends it.
+// NewProcess prepares a process of a program of this repository that logs below dir. The clean-up function ends it.
 func NewProcess(dir, name, prog string, args ...string) (prc *Process, cleanup func(), err error) {
 	prc, err = newProcess(dir, name, prog, args...)
 	return prc, prc.close, err
 }
 
-// Name names the process.
+// Name returns the name of the process.
 func (prc *Process) Name() string { return prc.name }
 
-// Start starts the process unless it runs.
+// Start starts the process. It returns an error if the process is running.
 func (prc *Process) Start() (err error) {
 	defer func() { err = errors.Wrapf(err, "start %s", prc.name) }()
 	prc.mut.Lock()
 	defer prc.mut.Unlock()
 	if prc.running() {
-		return errors.New("it runs")
+		return errors.New("already running")
 	}
 	out, err := os.OpenFile(prc.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -105,19 +105,19 @@
 	}
 }
 
-// Running reports whether the process was started and has not ended. A frozen process runs.
+// Running reports whether the process was started and has not ended. A frozen process counts as running.
 func (prc *Process) Running() bool {
 	prc.mut.Lock()
 	defer prc.mut.Unlock()
 	return prc.running()
 }
 
-// signal sends a signal to the process by its own id, if it runs.
+// signal sends a signal to the process by its id. It returns an error if the process is not running.
 func (prc *Process) signal(sig syscall.Signal) (err error) {
 	prc.mut.Lock()
 	defer prc.mut.Unlock()
 	if !prc.running() {
-		return errors.Errorf("%s does not run", prc.name)
+		return errors.Errorf("%s is not running", prc.name)
 	}
 	return errors.Wrapf(prc.cmd.Process.Signal(sig), "signal %s", prc.name)
 }
@@ -140,7 +140,7 @@
 // Freeze pauses the process (SIGSTOP) until Resume.
 func (prc *Process) Freeze() (err error) { return prc.signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on (SIGCONT).
+// Resume continues a frozen process (SIGCONT).
 func (prc *Process) Resume() (err error) { return prc.signal(syscall.SIGCONT) }
 
 // Stop asks the process to stop (SIGTERM) and waits for its end. It returns an error if the process reports one.
@@ -151,7 +151,7 @@
 	return errors.Wrapf(prc.Wait(), "stop %s", prc.name)
 }
 
-// Wait waits for the end of a process that was started and returns how it ended.
+// Wait waits for the end of a process that was started and returns its exit error.
 func (prc *Process) Wait() (err error) {
 	prc.mut.Lock()
 	end := prc.end
@@ -165,7 +165,7 @@
 	return prc.err
 }
 
-// close ends the process if it runs.
+// close ends the process if it is running.
 func (prc *Process) close() { _ = prc.Kill() }
 
 // Value waits until the output since the last start has name=value and returns the value.
@@ -175,7 +175,7 @@
 		return "", err
 	}
 	for ends := time.Now().Add(readyTime); time.Now().Before(ends); time.Sleep(pollTime) {
-		running := prc.Running() // before the output is read, so that its last lines count
+		running := prc.Running() // read before the output, so that the last lines of an ended process are seen
 		if found := pattern.FindSubmatch(prc.output()); found != nil {
 			return string(found[1]), nil
 		}
@@ -183,7 +183,7 @@
 			return "", errors.Errorf("%s ended without %s=\n%s", prc.name, name, prc.Tail(20))
 		}
 	}
-	return "", errors.Errorf("%s gave no %s= within %v\n%s", prc.name, name, readyTime, prc.Tail(20))
+	return "", errors.Errorf("%s logged no %s= within %v\n%s", prc.name, name, readyTime, prc.Tail(20))
 }
 
 // output returns the output since the last start.
--- a/internal/stand/procs/procs_test.go
+++ b/internal/stand/procs/procs_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(mmm *testing.M) { os.Exit(procs.Main(mmm)) }
 
-// TestSite guards against helpers that signal the wrong process, lose a process's addresses across a restart, or leave
-// a process behind.
+// TestSite guards against functions that signal the wrong process, change a process's addresses on a restart, or leave a
+// process running.
 func TestSite(tst *testing.T) {
 	sml, err := demo.Small(nil)
 	if err != nil {
@@ -38,19 +38,19 @@
 	defer cleanup()
 	one, late := sit.VM("one"), sit.VM("late")
 	if late.Running() {
-		tst.Fatal("the entry VM that starts later runs")
+		tst.Fatal("the entry VM of NotStarted is running")
 	}
 	for _, step := range []struct {
 		name string
 		run  func() error
 	}{
-		{name: "start of the later entry VM", run: late.Start},
-		{name: "all know the later one", run: sit.AwaitReady},
+		{name: "start of the entry VM of NotStarted", run: late.Start},
+		{name: "all list it as alive", run: sit.AwaitReady},
 		{name: "freeze", run: one.Freeze},
 		{name: "resume", run: one.Resume},
 		{name: "kill", run: one.Kill},
-		{name: "start again at the same addresses", run: one.Start},
-		{name: "all know the new incarnation", run: sit.AwaitReady},
+		{name: "restart at the same addresses", run: one.Start},
+		{name: "all list the new incarnation as alive", run: sit.AwaitReady},
 	} {
 		if err := step.run(); err != nil {
 			tst.Fatalf("%s: %v", step.name, err)
@@ -59,7 +59,7 @@
 	cleanup()
 	for _, vmp := range sit.VMs {
 		if vmp.Running() {
-			tst.Errorf("%s runs after the clean-up", vmp.Name())
+			tst.Errorf("%s is running after the clean-up", vmp.Name())
 		}
 	}
 }
--- a/internal/stand/procs/site.go
+++ b/internal/stand/procs/site.go
@@ -28,7 +28,7 @@
 // proxySendBuffer is the send buffer of the proxies in bytes, see fault.Config.
 const proxySendBuffer = 64 << 10
 
-// Place names an entry VM and says where it is.
+// Place is the id and the location of an entry VM.
 type Place struct {
 	ID            cardamompass.VMID
 	Region        cardamompass.Region
@@ -37,7 +37,7 @@
 
 // Config describes a site.
 type Config struct {
-	// Dir takes the settings files and the logs.
+	// Dir is the directory of the settings files and the logs.
 	Dir string
 	// VMs are the entry VMs. Those named in NotStarted are prepared but not started.
 	VMs        []Place
@@ -46,12 +46,12 @@
 	Document *catlg.Document
 	// Targets are the targets; their addresses are filled in.
 	Targets []cardamompass.Target
-	// TargetFlags gives further flags of "standin target"; nil for none.
+	// TargetFlags returns additional flags of "standin target". Nil means none.
 	TargetFlags func(tgt cardamompass.Target) []string
-	// Settings are settings of all entry VMs beside addresses and places, by their names.
+	// Settings are additional settings of all entry VMs by name, besides addresses and places.
 	Settings map[string]any
-	// StoreProxies puts a proxy between each entry VM and the store, PeerProxies one before each entry VM's peer
-	// address, TargetProxies one before each target.
+	// StoreProxies puts a proxy between each entry VM and the store, PeerProxies one in front of each entry VM's peer
+	// address, TargetProxies one in front of each target.
 	StoreProxies  bool
 	PeerProxies   bool
 	TargetProxies bool
@@ -59,7 +59,7 @@
 	SkipAwaitShares bool
 }
 
-// Store is the store's process. Address is its own, before any proxy.
+// Store is the store's process. Address is the address of the store itself, not of a proxy.
 type Store struct {
 	*Process
 	Address string
@@ -91,17 +91,16 @@
 	VMList  *Process
 	Targets map[cardamompass.TargetID]*Target
 	VMs     []*VM
-	// Editor edits the catalogue in the store, past all proxies.
+	// Editor edits the catalogue in the store without a proxy.
 	Editor *catlg.Editor
 
-	cfg      Config
-	listAt   string
-	cleanups []func()
+	cfg           Config
+	vmListAddress string
+	cleanups      []func()
 }
 
 // New starts a site, puts its catalogue into the store and waits until all entry VMs are ready and the
-// caps are divided. The clean-up function
-// ends all processes and proxies.
+// caps are divided. The clean-up function ends all processes and proxies.
 func New(cfg Config) (sit *Site, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "start site of processes") }()
 	sit = &Site{
@@ -122,7 +121,7 @@
 	return sit, sync.OnceFunc(sit.cleanup), nil
 }
 
-// ForTest starts a site that ends with the test. A failing test logs the ends of the processes' outputs.
+// ForTest starts a site that ends with the test. If the test fails, the last lines of each process's output are logged.
 func ForTest(tbx testing.TB, cfg Config) (sit *Site) {
 	tbx.Helper()
 	if cfg.Dir == "" {
@@ -149,7 +148,7 @@
 
 func (sit *Site) onCleanup(fnc func()) { sit.cleanups = append(sit.cleanups, fnc) }
 
-// start starts a process that ends with the site.
+// start starts a process that the site's clean-up function ends.
 func (sit *Site) start(name, prog string, args ...string) (prc *Process, err error) {
 	if prc, err = newProcess(sit.cfg.Dir, name, prog, args...); err != nil {
 		return nil, err
@@ -165,7 +164,7 @@
 	prx, stop, err := fault.New(fault.Config{
 		Address:  "127.0.0.1:0",
 		Upstream: upstream,
-		// Keeps the counts of delivered bytes close to what was received.
+		// Keeps the counts of delivered bytes close to the bytes received.
 		SendBuffer: proxySendBuffer,
 	})
 	if err != nil {
@@ -191,7 +190,7 @@
 	if sit.VMList, err = sit.start("vm-list", "standin", "vms"); err != nil {
 		return err
 	}
-	if sit.listAt, err = sit.VMList.Value("address"); err != nil {
+	if sit.vmListAddress, err = sit.VMList.Value("address"); err != nil {
 		return err
 	}
 	if _, err = prc.Value("address"); err != nil {
@@ -213,17 +212,17 @@
 	return nil
 }
 
-// PutListed adds a VM to the platform's list or changes it there.
+// PutListed adds a VM to the platform's VM list or replaces it there.
 func (sit *Site) PutListed(lvm cardamompass.ListedVM) (err error) {
-	return Control(sit.listAt, http.MethodPut, "/control/vms/"+lvm.Name, map[string]any{
+	return Control(sit.vmListAddress, http.MethodPut, "/control/vms/"+lvm.Name, map[string]any{
 		"address": lvm.Address,
 		"leaving": lvm.Leaving,
 	}, nil)
 }
 
-// RemoveListed removes a VM from the platform's list.
+// RemoveListed removes a VM from the platform's VM list.
 func (sit *Site) RemoveListed(name string) (err error) {
-	return Control(sit.listAt, http.MethodDelete, "/control/vms/"+name, nil, nil)
+	return Control(sit.vmListAddress, http.MethodDelete, "/control/vms/"+name, nil, nil)
 }
 
 // Caller returns a caller in a region that uses the given entry VMs for look-ups, all if none is given.
@@ -271,7 +270,7 @@
 }
 
 // writeSettings writes the settings file of an entry VM and returns its path.
-func (sit *Site) writeSettings(vmp *VM, storeAt string) (path string, err error) {
+func (sit *Site) writeSettings(vmp *VM, storeAddress string) (path string, err error) {
 	values := map[string]any{
 		"vm-id":            vmp.Place.ID,
 		"region":           vmp.Place.Region,
@@ -279,8 +278,8 @@
 		"caller-address":   vmp.CallerAddress,
 		"peer-address":     vmp.PeerAddress,
 		"operator-address": vmp.OperatorAddress,
-		"store-address":    storeAt,
-		"vm-list-address":  sit.listAt,
+		"store-address":    storeAddress,
+		"vm-list-address":  sit.vmListAddress,
 		"peer-key":         peerKey,
 		"seeds":            sit.seeds(),
 	}
@@ -309,7 +308,7 @@
 	return err
 }
 
-// Await waits until ready returns an empty text, and returns the last text as an error after the bound.
+// Await waits until ready returns an empty string. After the bound it returns an error with the last string.
 func Await(bound time.Duration, ready func() (missing string)) (err error) {
 	missing := ""
 	for ends := time.Now().Add(bound); time.Now().Before(ends); time.Sleep(pollTime) {
@@ -317,5 +316,5 @@
 			return nil
 		}
 	}
-	return errors.Errorf("not within %v: %s", bound, missing)
+	return errors.Errorf("not ready within %v: %s", bound, missing)
 }
--- a/internal/stand/procs/start.go
+++ b/internal/stand/procs/start.go
@@ -72,11 +72,11 @@
 		sit.VMs = append(sit.VMs, vmp)
 	}
 	for _, vmp := range sit.VMs {
-		storeAt := sit.Store.Address
+		storeAddress := sit.Store.Address
 		if vmp.StoreProxy != nil {
-			storeAt = vmp.StoreProxy.Address()
+			storeAddress = vmp.StoreProxy.Address()
 		}
-		path, err := sit.writeSettings(vmp, storeAt)
+		path, err := sit.writeSettings(vmp, storeAddress)
 		if err != nil {
 			return err
 		}
@@ -93,7 +93,7 @@
 		}
 		if err = sit.PutListed(cardamompass.ListedVM{
 			Name:    string(vmp.Place.ID),
-			Address: vmp.peerAt(),
+			Address: vmp.advertisedPeerAddress(),
 		}); err != nil {
 			return err
 		}
@@ -123,16 +123,16 @@
 	return vmp, nil
 }
 
-// seeds are the peer addresses of all entry VMs, those that start later included.
+// seeds returns the peer addresses of all entry VMs, including those that are not started yet.
 func (sit *Site) seeds() (addresses []string) {
 	for _, vmp := range sit.VMs {
-		addresses = append(addresses, vmp.peerAt())
+		addresses = append(addresses, vmp.advertisedPeerAddress())
 	}
 	return addresses
 }
 
-// peerAt is the address at which other entry VMs reach this one.
-func (vmp *VM) peerAt() string {
+// advertisedPeerAddress returns the address at which other entry VMs reach this one.
+func (vmp *VM) advertisedPeerAddress() string {
 	if vmp.PeerProxy != nil {
 		return vmp.PeerProxy.Address()
 	}
@@ -154,13 +154,12 @@
 	return sta, err
 }
 
-// AwaitReady waits until every entry VM that runs has a catalogue, knows exactly the others that run as alive and has its
-// lease.
+// AwaitReady waits until every running entry VM has a catalogue, lists all running entry VMs as alive and has its lease.
 func (sit *Site) AwaitReady() (err error) {
-	return Await(readyTime, sit.missing)
+	return Await(readyTime, sit.missingState)
 }
 
-func (sit *Site) missing() (missing string) {
+func (sit *Site) missingState() (missing string) {
 	running := make(map[cardamompass.VMID]bool)
 	for _, vmp := range sit.VMs {
 		if vmp.Running() {
@@ -185,7 +184,7 @@
 		case sta.Catalogue.Version == 0:
 			return string(vmp.Place.ID) + " has no catalogue"
 		case alive < len(running):
-			return fmt.Sprintf("%s knows %d of %d entry VMs", vmp.Place.ID, alive, len(running))
+			return fmt.Sprintf("%s lists %d of %d entry VMs as alive", vmp.Place.ID, alive, len(running))
 		case len(sta.Shares.Resources) > 0 && sta.Shares.LeaseID == "":
 			return string(vmp.Place.ID) + " has no lease"
 		}
@@ -193,16 +192,15 @@
 	return ""
 }
 
-// divided is the part of an equal part of a cap, as a divisor, that a VM owns at least once the caps are divided: the smallest weight
-// is a quarter of the largest, and half of a part is enough.
-const divided = 8
+// minShareDivisor divides an equal share of a cap; the result is the least that a VM owns once the caps are divided. The smallest
+// weight is a quarter of the largest, and half of a share is enough.
+const minShareDivisor = 8
 
-// AwaitShares waits until every entry VM that runs owns at least an eighth of an equal part of each cap. The first VM of a new
-// site owns all of them until its next visits of the ledgers; if it is killed before, nobody owns them while its lease
-// lives.
-func (sit *Site) AwaitShares() (err error) { return Await(readyTime, sit.undivided) }
+// AwaitShares waits until every running entry VM owns at least an eighth of an equal share of each cap. The first VM of a new
+// site owns all units until it rebalances the ledgers; if it is killed before, no VM owns them until its lease expires.
+func (sit *Site) AwaitShares() (err error) { return Await(readyTime, sit.missingShares) }
 
-func (sit *Site) undivided() (missing string) {
+func (sit *Site) missingShares() (missing string) {
 	var states []entry.State
 	for _, vmp := range sit.VMs {
 		if !vmp.Running() {
@@ -216,7 +214,7 @@
 	}
 	for _, sta := range states {
 		for _, res := range sta.Shares.Resources {
-			if least := res.Capacity / int64(divided*len(states)); res.Owned < least {
+			if least := res.Capacity / int64(minShareDivisor*len(states)); res.Owned < least {
 				return fmt.Sprintf("%s owns %d of %d units of %s", sta.VM.ID, res.Owned, res.Capacity, res.Name)
 			}
 		}
--- a/internal/stand/procs/death_linux.go
+++ b/internal/stand/procs/sysproc_linux.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// attributes ends a process with this one, so that a test binary that is killed leaves no process behind.
+// attributes makes the system end a process when this one ends, so that a killed test binary leaves no process running.
 func attributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
