--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak_test runs real entry VM processes for a while under faults that are drawn from a seed, and checks the promises to callers
-// and targets from what these saw. Faults come in series and overlap.
+// Package soak_test runs entry VM processes under faults drawn from a seed and checks the guarantees to callers and targets against
+// what the callers and targets recorded. Faults follow one another and overlap.
 //
 // CI runs the listed seeds for a short time. By hand: go test ./internal/proof/soak -soak.seeds 50 -soak.time 30s
 package soak_test
@@ -24,17 +24,17 @@
 var (
 	seedFlag  = flag.Uint64("soak.seed", 0, "run only this seed")
 	seedsFlag = flag.Int("soak.seeds", 0, "run this many new seeds instead of the listed ones")
-	timeFlag  = flag.Duration("soak.time", 12*time.Second, "time of faults for each seed")
+	timeFlag  = flag.Duration("soak.time", 12*time.Second, "duration of fault injection for each seed")
 	vmsFlag   = flag.Int("soak.vms", 6, "number of entry VMs")
-	rateFlag  = flag.Int("soak.rate", 120, "requests a second")
+	rateFlag  = flag.Int("soak.rate", 120, "requests per second")
 )
 
-// seeds run in CI. A seed that ever failed is added with a line on its cause.
+// seeds are run in CI. A seed that has failed is added here with a line on its cause.
 var seeds = []uint64{1, 2}
 
 func TestMain(m *testing.M) { os.Exit(procs.Main(m)) }
 
-// Guards against broken promises under faults that nobody thought of together.
+// Guards against violations of the guarantees under combinations of faults that no other test covers.
 func TestSoak(t *testing.T) {
 	list := seeds
 	if *seedsFlag > 0 {
@@ -51,14 +51,14 @@
 	}
 }
 
-// soak is one run.
+// soak is the run of one seed.
 type soak struct {
 	*pfleet.Fleet
 	t       *testing.T
 	rng     *rand.Rand
 	callers *pfleet.Callers
 	version int
-	left    map[*pfleet.Target]time.Time // when a target's leaving was acknowledged
+	leaving map[*pfleet.Target]time.Time // time at which the registration of a target as draining was acknowledged
 	events  []string
 	begin   time.Time
 }
@@ -66,7 +66,7 @@
 const (
 	targets = 16
 	slots   = 6
-	// recoverTime is the time after the last fault within which the site must serve again.
+	// recoverTime is the time within which all VMs must serve again after the last fault is lifted.
 	recoverTime = 15 * time.Second
 )
 
@@ -90,7 +90,7 @@
 		t:       t,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		callers: cls,
-		left:    make(map[*pfleet.Target]time.Time),
+		leaving: make(map[*pfleet.Target]time.Time),
 	}
 }
 
@@ -115,7 +115,7 @@
 	sok.check()
 }
 
-// path is stable while the configuration changes beside it.
+// path returns a path whose route is the same in every version of the configuration.
 func (sok *soak) path(idempotent bool) (path string) {
 	if idempotent {
 		return "/read/a"
@@ -128,50 +128,50 @@
 	sok.Configure(sok.version, []string{"/read/", fmt.Sprintf("/v%d/", sok.version)}, []string{"/write/"})
 }
 
-func (sok *soak) note(format string, args ...any) {
+func (sok *soak) recordEvent(format string, args ...any) {
 	sok.events = append(sok.events, fmt.Sprintf("%6.2fs ", time.Since(sok.begin).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// step injects one fault or lifts one. Half of the VMs and of the targets stay without faults, so that there is something to serve with.
+// step injects or lifts one fault. Half of the VMs and of the targets stay free of faults, so that requests can still be served.
 func (sok *soak) step() {
 	vmc := sok.VMs[sok.rng.IntN((len(sok.VMs)+1)/2)]
 	tgt := sok.Targets[sok.rng.IntN(targets/2)]
 	switch kind := sok.rng.IntN(14); kind {
 	case 0:
-		sok.note("kill %s: %v", vmc.Name(), vmc.Kill())
+		sok.recordEvent("kill %s: %v", vmc.Name(), vmc.Kill())
 	case 1:
-		sok.note("terminate %s: %v", vmc.Name(), vmc.Terminate())
+		sok.recordEvent("terminate %s: %v", vmc.Name(), vmc.Terminate())
 	case 2:
-		sok.note("freeze %s: %v", vmc.Name(), vmc.Freeze())
+		sok.recordEvent("freeze %s: %v", vmc.Name(), vmc.Freeze())
 	case 3, 4:
-		sok.note("resume %s: %v", vmc.Name(), vmc.Resume())
+		sok.recordEvent("resume %s: %v", vmc.Name(), vmc.Resume())
 		if !vmc.Running() {
-			sok.note("start %s: %v", vmc.Name(), vmc.Start())
+			sok.recordEvent("start %s: %v", vmc.Name(), vmc.Start())
 		}
 	case 5:
-		sok.note("reload %s: %v", vmc.Name(), vmc.Reload())
+		sok.recordEvent("reload %s: %v", vmc.Name(), vmc.Reload())
 	case 6:
 		flt := sok.storeFaults()
 		sok.Store.SetFaults(flt)
-		sok.note("store %+v", flt)
+		sok.recordEvent("store %+v", flt)
 	case 7:
 		sok.Store.SetFaults(pstore.Faults{})
 		sok.Store.Compact()
-		sok.note("store healed, history discarded")
+		sok.recordEvent("store faults lifted, history compacted")
 	case 8:
-		sok.link(vmc.StoreProxy, "store of "+vmc.Name())
+		sok.changeLink(vmc.StoreProxy, "store of "+vmc.Name())
 	case 9, 10:
-		sok.link(tgt.Proxy, tgt.ID)
+		sok.changeLink(tgt.Proxy, tgt.ID)
 	case 11:
 		flt := []ptarg.Fault{
 			ptarg.FaultNone, ptarg.FaultReset, ptarg.FaultTruncated, ptarg.FaultGarbage, ptarg.FaultDuplicated, ptarg.FaultUnframed, ptarg.FaultError,
 			ptarg.FaultShed, ptarg.FaultFalse503, ptarg.FaultNoResponse,
 		}[sok.rng.IntN(10)]
 		tgt.SetFault(flt)
-		sok.note("target %s %q", tgt.ID, flt)
+		sok.recordEvent("target %s %q", tgt.ID, flt)
 	case 12:
 		sok.configure()
-		sok.note("configuration %d", sok.version)
+		sok.recordEvent("configuration %d", sok.version)
 	default:
 		sok.leave(tgt)
 	}
@@ -187,53 +187,53 @@
 	}[sok.rng.IntN(5)]
 }
 
-// link changes what a proxy does.
-func (sok *soak) link(prx *fault.Proxy, name string) {
+// changeLink injects a fault into a connection through a proxy, or lifts its faults.
+func (sok *soak) changeLink(prx *fault.Proxy, name string) {
 	switch sok.rng.IntN(6) {
 	case 0:
 		prx.Drop(fault.Up)
-		sok.note("%s: cut towards it", name)
+		sok.recordEvent("%s: traffic towards it dropped", name)
 	case 1:
 		prx.Drop(fault.Down)
-		sok.note("%s: cut from it", name)
+		sok.recordEvent("%s: traffic from it dropped", name)
 	case 2:
 		prx.Freeze()
-		sok.note("%s: silent", name)
+		sok.recordEvent("%s: frozen", name)
 	case 3:
 		prx.SetDelay(fault.Down, 200*time.Millisecond)
-		sok.note("%s: delayed", name)
+		sok.recordEvent("%s: delayed", name)
 	default:
 		prx.Resume()
 		prx.SetDelay(fault.Down, 0)
-		sok.note("%s: healed, connections reset: %v", name, prx.Heal())
+		sok.recordEvent("%s: faults lifted, connections reset: %v", name, prx.Heal())
 	}
 }
 
-// leave lets a target say that it leaves, or registers another one.
+// leave registers a target as draining. If it already is, another target is added instead.
 func (sok *soak) leave(tgt *pfleet.Target) {
-	if _, done := sok.left[tgt]; done {
+	if _, done := sok.leaving[tgt]; done {
 		added, err := sok.AddTarget()
 		if err != nil {
 			sok.t.Fatal(err)
 		}
-		sok.note("target %s joins", added.ID)
+		sok.recordEvent("target %s joins", added.ID)
 		return
 	}
 	sok.Register(tgt, "draining")
-	sok.left[tgt] = time.Now()
-	sok.note("target %s leaves", tgt.ID)
+	sok.leaving[tgt] = time.Now()
+	sok.recordEvent("target %s leaves", tgt.ID)
 }
 
 // heal lifts all faults and starts all VMs.
 func (sok *soak) heal() {
-	sok.note("everything healed")
+	sok.recordEvent("all faults lifted")
 	sok.Store.SetFaults(pstore.Faults{})
 	for _, tgt := range sok.Targets {
 		tgt.SetFault(ptarg.FaultNone)
-		sok.lift(tgt.Proxy)
+		sok.liftFaults(tgt.Proxy)
 	}
 	for _, vmc := range sok.VMs {
-		sok.lift(vmc.StoreProxy)
+		sok.liftFaults(vmc.StoreProxy)
 		_ = vmc.Resume() // fails for a VM that does not run
 		if !vmc.Running() {
 			if err := vmc.Start(); err != nil {
@@ -243,7 +243,7 @@
 	}
 }
 
-func (sok *soak) lift(prx *fault.Proxy) {
+func (sok *soak) liftFaults(prx *fault.Proxy) {
 	prx.Resume()
 	prx.SetDelay(fault.Down, 0)
 	if err := prx.Heal(); err != nil {
@@ -251,21 +251,21 @@
 	}
 }
 
-// awaitService waits until every VM serves with the newest configuration.
+// awaitService waits until every VM serves the latest version of the configuration.
 func (sok *soak) awaitService(after string) {
 	sok.t.Helper()
 	end := time.Now().Add(recoverTime)
 	for _, vmc := range sok.VMs {
 		for {
-			if !vmc.Running() { // it was stopping when everything was healed
+			if !vmc.Running() { // it was still stopping when heal started the other VMs
 				_ = vmc.Start()
 			}
-			snt := sok.callers.SendTo(sok.t.Context(), vmc.CallerAddress(), fmt.Sprintf("/v%d/a", sok.version), true)
-			if snt.Status == 200 {
+			res := sok.callers.SendTo(sok.t.Context(), vmc.CallerAddress(), fmt.Sprintf("/v%d/a", sok.version), true)
+			if res.Status == 200 {
 				break
 			}
 			if time.Now().After(end) {
-				sok.fatal(fmt.Sprintf("%s does not serve %v after the %s: %+v\n%s", vmc.Name(), recoverTime, after, snt, vmc.Tail(8)))
+				sok.fatal(fmt.Sprintf("%s does not serve %v after the %s: %+v\n%s", vmc.Name(), recoverTime, after, res, vmc.Tail(8)))
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -273,33 +273,33 @@
 }
 
 func (sok *soak) check() {
-	sent := sok.callers.Results()
-	found := pfleet.Violations(sent, sok.Targets)
-	for tgt, since := range sok.left {
-		// Faults of the store and of VMs stretch the bound; after the recovery time nothing excuses work for it.
-		if count := pfleet.RunsAfter(sent, tgt, since.Add(*timeFlag+recoverTime)); count > 0 {
-			found = append(found, fmt.Sprintf("%s ran %d requests long after it had left", tgt.ID, count))
+	results := sok.callers.Results()
+	violations := pfleet.Violations(results, sok.Targets)
+	for tgt, since := range sok.leaving {
+		// While faults last, the departure can take effect late; after the recovery time the target must get no requests.
+		if count := pfleet.RunsAfter(results, tgt, since.Add(*timeFlag+recoverTime)); count > 0 {
+			violations = append(violations, fmt.Sprintf("%s ran %d requests after it was draining and recovery had ended", tgt.ID, count))
 		}
 	}
 	served := 0
-	for _, snt := range sent {
-		if snt.Status == 200 {
+	for _, res := range results {
+		if res.Status == 200 {
 			served++
 		}
 	}
-	sok.t.Logf("%d requests, %d served, %d faults", len(sent), served, len(sok.events))
-	if served < len(sent)/4 {
-		found = append(found, fmt.Sprintf("only %d of %d requests were served", served, len(sent)))
+	sok.t.Logf("%d requests, %d served, %d faults", len(results), served, len(sok.events))
+	if served < len(results)/4 {
+		violations = append(violations, fmt.Sprintf("only %d of %d requests were served", served, len(results)))
 	}
-	for _, text := range found {
+	for _, text := range violations {
 		sok.t.Error(text)
 	}
-	if len(found) > 0 {
-		sok.fatal("promises broken")
+	if len(violations) > 0 {
+		sok.fatal("guarantees violated")
 	}
 }
 
-// fatal ends the run with what was injected.
+// fatal logs the injected faults and ends the test.
 func (sok *soak) fatal(text string) {
 	sok.t.Helper()
 	for _, evt := range sok.events {
