--- a/internal/stand/ctrl/clock.go
+++ b/internal/stand/ctrl/clock.go
@@ -7,7 +7,7 @@
 	"cardamompass"
 )
 
-// ManualClock is a cardamompass.Clock that moves only when it is told to. It is safe for concurrent use.
+// ManualClock is a cardamompass.Clock that moves only by Advance. It is safe for concurrent use.
 type ManualClock struct {
 	mut sync.Mutex
 	now time.Time
@@ -18,7 +18,7 @@
 
 var _ cardamompass.Clock = (*ManualClock)(nil)
 
-// NewManualClock returns a clock that shows now.
+// NewManualClock returns a clock that is set to now.
 func NewManualClock(now time.Time) *ManualClock {
 	return &ManualClock{
 		now: now,
--- a/internal/stand/ctrl/ctrl.go
+++ b/internal/stand/ctrl/ctrl.go
@@ -1,5 +1,5 @@
-// Package ctrl holds what the stand-ins have in common: JSON over HTTP, a listener with a clean-up function, and values
-// that are reported late.
+// Package ctrl has the common code of the stand-ins: JSON over HTTP, a listener with a clean-up function, a manual clock, and
+// values that are reported with a lag.
 package ctrl
 
 import (
@@ -22,17 +22,17 @@
 	MaxBodyBytes = 16 << 20
 )
 
-// ErrorBody is the JSON of an error answer.
+// ErrorBody is the JSON of an error response.
 type ErrorBody struct {
 	// Error is the code of the error, for example "not-found".
 	Error string `json:"error"`
-	// Reason says more for a reader.
+	// Reason is an explanation for people.
 	Reason string `json:"reason"`
-	// Revision is the store's revision in an answer with the code "conflict".
+	// Revision is the store's revision in a response with the code "conflict".
 	Revision *int64 `json:"revision,omitempty"`
 }
 
-// WriteJSON answers with bdy as JSON.
+// WriteJSON sends a response with bdy as JSON.
 func WriteJSON(rsw http.ResponseWriter, status int, bdy any) {
 	dat, err := json.Marshal(bdy)
 	if err != nil {
@@ -43,7 +43,7 @@
 	_, _ = rsw.Write(dat)
 }
 
-// ReadJSON reads the body of req into bdy and answers with status 400 and false when it is malformed.
+// ReadJSON reads the body of req into bdy. If the body is malformed, it responds with status 400 and returns false.
 func ReadJSON(rsw http.ResponseWriter, req *http.Request, bdy any) (ok bool) {
 	dat, err := io.ReadAll(http.MaxBytesReader(rsw, req.Body, MaxBodyBytes))
 	if err == nil {
@@ -58,7 +58,7 @@
 	return err == nil
 }
 
-// Abort closes the connection of the running handler without an answer.
+// Abort closes the connection of the running handler without a response.
 func Abort() { panic(http.ErrAbortHandler) }
 
 // NewRouter returns a router in which an escaped slash is part of a path segment; see Var.
@@ -76,7 +76,7 @@
 	return val
 }
 
-// Serve serves hnd at address (host:port by IP number, port 0 for any) and returns the real address. The clean-up
+// Serve serves hnd at address (IP address and port, port 0 for any free port) and returns the bound address. The clean-up
 // function closes the listener and all connections and waits for the server, but not for running handlers.
 func Serve(address string, hnd http.Handler) (bound string, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "serve stand-in") }()
--- a/internal/stand/ctrl/history.go
+++ b/internal/stand/ctrl/history.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// History keeps the values that something had, so that it can be reported as it was some time ago. The zero value is
+// History keeps the past values of a variable, so that they can be reported with a lag. The zero value is
 // ready for use. It is not safe for concurrent use.
 type History[V any] struct {
 	ent []entry[V]
@@ -13,7 +13,7 @@
 	val V
 }
 
-// Add records that the value is val from now on, and forgets what a report with the given lag no longer needs.
+// Add records that the value is val from now on, and discards the values that a report with the given lag no longer needs.
 func (his *History[V]) Add(now time.Time, lag time.Duration, val V) {
 	his.prune(now, lag)
 	his.ent = append(his.ent, entry[V]{
@@ -22,7 +22,7 @@
 	})
 }
 
-// At returns the value as it was lag before now, or the oldest that is known.
+// At returns the value as it was lag before now, or the oldest value that is kept.
 func (his *History[V]) At(now time.Time, lag time.Duration) (val V) {
 	for idx := len(his.ent) - 1; idx >= 0; idx-- {
 		val = his.ent[idx].val
--- a/internal/stand/demo/demo.go
+++ b/internal/stand/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo runs a whole small site in one process: stand-ins of the store, the VM list and the targets, and entry VMs.
+// Package demo runs a small site in one process: a simulated store, VM list and targets, and real entry VMs.
 package demo
 
 import (
@@ -29,11 +29,11 @@
 const (
 	// peerKey is shared by the entry VMs of one site; they all run in this process.
 	peerKey = "demo-key-for-loopback-only"
-	// readyTime bounds the wait for the site to serve.
+	// readyTime bounds the wait for the site to be ready.
 	readyTime = 15 * time.Second
 )
 
-// Place is a region and a failure domain.
+// Place is the location of an entry VM.
 type Place struct {
 	Region        cardamompass.Region
 	FailureDomain cardamompass.FailureDomain
@@ -41,19 +41,19 @@
 
 // Config configures a Site.
 type Config struct {
-	// Log receives the lines of all entry VMs.
+	// Log receives the log lines of all entry VMs.
 	Log *zap.Logger
-	// VMs are the places of the entry VMs.
+	// VMs are the locations of the entry VMs.
 	VMs []Place
-	// Document is the catalogue without targets; those are added as their addresses become known.
+	// Document is the catalogue without targets; these are added once their addresses are known.
 	Document *catlg.Document
 	// Targets are the targets; addresses are filled in.
 	Targets []cardamompass.Target
-	// Behaviour gives the behaviour of the targets of a service.
+	// Behaviour returns the behaviour of a target.
 	Behaviour func(tgt cardamompass.Target) target.Behaviour
-	// Settings are settings of all entry VMs beside addresses and places, by their names.
+	// Settings are additional settings of all entry VMs by name, besides addresses and places.
 	Settings map[string]any
-	// Naive replaces the steering by its baseline.
+	// Naive replaces the steering policy by the naive baseline.
 	Naive bool
 }
 
@@ -66,10 +66,10 @@
 	VMs          []*entry.Process
 	Editor       *catlg.Editor
 
-	cfg      Config
-	listAt   string
-	ends     map[cardamompass.VMID]func()
-	cleanups []func()
+	cfg           Config
+	vmListAddress string
+	stops         map[cardamompass.VMID]func()
+	cleanups      []func()
 }
 
 // New starts a site, puts its catalogue into the store and waits until every entry VM serves it.
@@ -78,7 +78,7 @@
 	sit = &Site{
 		Targets: make(map[cardamompass.TargetID]*target.Target),
 		cfg:     cfg,
-		ends:    make(map[cardamompass.VMID]func()),
+		stops:   make(map[cardamompass.VMID]func()),
 	}
 	for _, step := range []func() error{sit.startPlatform, sit.startTargets, sit.startVMs, sit.AwaitReady} {
 		if err := step(); err != nil {
@@ -111,7 +111,7 @@
 		return err
 	}
 	sit.onCleanup(stop)
-	if sit.listAt, stop, err = ctrl.Serve("127.0.0.1:0", sit.VMList); err != nil {
+	if sit.vmListAddress, stop, err = ctrl.Serve("127.0.0.1:0", sit.VMList); err != nil {
 		return err
 	}
 	sit.onCleanup(stop)
@@ -186,7 +186,7 @@
 		"peer-address":     "127.0.0.1:0",
 		"operator-address": "127.0.0.1:0",
 		"store-address":    sit.StoreAddress,
-		"vm-list-address":  sit.listAt,
+		"vm-list-address":  sit.vmListAddress,
 		"peer-key":         peerKey,
 	}
 	if len(sit.VMs) > 0 {
@@ -208,7 +208,7 @@
 		return err
 	}
 	stop = sync.OnceFunc(stop)
-	sit.ends[vid] = stop
+	sit.stops[vid] = stop
 	sit.onCleanup(stop)
 	sit.VMs = append(sit.VMs, prc)
 	sit.VMList.Put(cardamompass.ListedVM{
@@ -218,9 +218,9 @@
 	return nil
 }
 
-// KillVM ends an entry VM at once, without a planned stop. The site still lists it in VMs.
+// KillVM ends an entry VM at once, without a planned stop. It stays in VMs.
 func (sit *Site) KillVM(vid cardamompass.VMID) {
-	if end := sit.ends[vid]; end != nil {
+	if end := sit.stops[vid]; end != nil {
 		end()
 	}
 }
@@ -259,18 +259,18 @@
 	}, nil
 }
 
-// AwaitReady waits until every entry VM has the catalogue, knows all others and has units of its region's slots.
+// AwaitReady waits until every entry VM has the catalogue, lists all others as alive and has its lease.
 func (sit *Site) AwaitReady() (err error) {
 	var missing string
 	for ends := time.Now().Add(readyTime); time.Now().Before(ends); time.Sleep(10 * time.Millisecond) {
-		if missing = sit.missing(); missing == "" {
+		if missing = sit.missingState(); missing == "" {
 			return nil
 		}
 	}
 	return errors.Errorf("site is not ready after %v: %s", readyTime, missing)
 }
 
-func (sit *Site) missing() string {
+func (sit *Site) missingState() string {
 	for _, prc := range sit.VMs {
 		sta := prc.State()
 		alive := 0
@@ -283,7 +283,7 @@
 		case sta.Catalogue.Version == 0:
 			return string(sta.VM.ID) + " has no catalogue"
 		case alive < len(sit.VMs):
-			return fmt.Sprintf("%s knows %d of %d entry VMs", sta.VM.ID, alive, len(sit.VMs))
+			return fmt.Sprintf("%s lists %d of %d entry VMs as alive", sta.VM.ID, alive, len(sit.VMs))
 		case len(sta.Shares.Resources) > 0 && sta.Shares.LeaseID == "":
 			return string(sta.VM.ID) + " has no lease"
 		}
@@ -311,7 +311,7 @@
 	return runs
 }
 
-// WriteOverview tells where to send a request and how to edit the catalogue.
+// WriteOverview prints the addresses of the site and example commands.
 func (sit *Site) WriteOverview(out io.Writer) (err error) {
 	var buf bytes.Buffer
 	first := sit.VMs[0]
--- a/internal/stand/demo/magnolia.go
+++ b/internal/stand/demo/small.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// Short is the service with short requests.
+	// Short is a service with short requests.
 	Short = cardamompass.ServiceName("kiosk-core")
-	// Long is the service with long downloads.
+	// Long is a service with long downloads.
 	Long = cardamompass.ServiceName("manuals-dl")
 )
 
-// regions of the demo, each with the failure domains a and b.
+// regions are the regions of the demo, each with the failure domains a and b.
 var regions = []cardamompass.Region{"gulf", "delta", "piedmont"}
 
 // Small returns the configuration of the demo: three regions, seven entry VMs, six targets of each service.
@@ -93,7 +93,7 @@
 			FallbackRegions: near,
 		})
 		for _, oth := range near {
-			addCrossing(&bld, reg, oth)
+			addLink(&bld, reg, oth)
 		}
 	}
 	return bld.doc, bld.err
@@ -117,7 +117,7 @@
 	})
 }
 
-func addCrossing(bld *builder, from, to cardamompass.Region) {
+func addLink(bld *builder, from, to cardamompass.Region) {
 	add(bld, catlg.LinkEntry(from, to), cardamompass.Link{
 		From:          from,
 		To:            to,
@@ -134,7 +134,7 @@
 	}
 }
 
-// builder collects entries and the first error.
+// builder adds entries to a document and keeps the first error.
 type builder struct {
 	doc *catlg.Document
 	err error
--- a/internal/stand/demo/once.go
+++ b/internal/stand/demo/smoke.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// stepTimeout bounds one step of Once.
+	// stepTimeout bounds one step of SmokeTest.
 	stepTimeout = 10 * time.Second
-	// leaveTime is the time after which a draining target gets no new work.
+	// leaveTime is the time after which a draining target gets no more requests.
 	leaveTime = 3 * time.Second
-	// pollTime is the time between two looks at a state that is awaited.
+	// pollTime is the interval at which an awaited condition is checked.
 	pollTime = 2 * time.Millisecond
 )
 
 // SmokeTest sends requests of each kind, edits the catalogue and drains a target through the whole system. It prints one line
-// for each and returns an error if one had an unexpected result.
+// per step and returns an error if a step failed.
 func (sit *Site) SmokeTest(out io.Writer) (err error) {
 	clr, stop := sit.Caller("gulf")
 	defer stop()
@@ -34,11 +34,11 @@
 		name string
 		run  func(clr *caller.Caller) (note string, err error)
 	}{
-		{name: "short-request", run: sit.onceShort},
-		{name: "long-request", run: sit.onceLong},
-		{name: "operation", run: sit.onceOperation},
-		{name: "edit", run: sit.onceEdit},
-		{name: "drain", run: sit.onceDrain},
+		{name: "short-request", run: sit.checkShort},
+		{name: "long-request", run: sit.checkLong},
+		{name: "operation", run: sit.checkOperation},
+		{name: "edit", run: sit.checkEdit},
+		{name: "drain", run: sit.checkDrain},
 	} {
 		note, err := step.run(clr)
 		outcome := "ok"
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (sit *Site) onceShort(clr *caller.Caller) (note string, err error) {
+func (sit *Site) checkShort(clr *caller.Caller) (note string, err error) {
 	rsp, err := clr.Do(context.Background(), caller.Request{
 		ID:         "demo-short",
 		Service:    Short,
@@ -79,7 +79,7 @@
 	return fmt.Sprintf("%d bytes through %s", len(rsp.Body), rsp.VM), expect(rsp, err)
 }
 
-func (sit *Site) onceLong(clr *caller.Caller) (note string, err error) {
+func (sit *Site) checkLong(clr *caller.Caller) (note string, err error) {
 	const want = 4 << 20
 	rsp, err := clr.Do(context.Background(), caller.Request{
 		ID:         "demo-long",
@@ -98,8 +98,8 @@
 	return fmt.Sprintf("%d bytes through %s", len(rsp.Body), rsp.VM), nil
 }
 
-// onceOperation sends an operation and sends it again through another entry VM. It must run once and be answered alike.
-func (sit *Site) onceOperation(clr *caller.Caller) (note string, err error) {
+// checkOperation sends an operation twice, through different entry VMs. It must run once and get equal responses.
+func (sit *Site) checkOperation(clr *caller.Caller) (note string, err error) {
 	const operation = "demo-rental"
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
@@ -122,7 +122,7 @@
 	for num, vmr := range lkp.VMs[:2] {
 		rsp, err := clr.SendTo(ctx, vmr, req, lkp.Ticket, num+1)
 		if err := expect(rsp, err); err != nil {
-			return "", errors.Wrapf(err, "sending %d", num+1)
+			return "", errors.Wrapf(err, "attempt %d", num+1)
 		}
 		bodies = append(bodies, rsp.Body)
 	}
@@ -130,13 +130,13 @@
 		return "", errors.Errorf("operation ran %d times", runs)
 	}
 	if !bytes.Equal(bodies[0], bodies[1]) {
-		return "", errors.New("the two sendings got different answers")
+		return "", errors.New("the two attempts got different responses")
 	}
 	return fmt.Sprintf("ran once, sent through %s and %s", lkp.VMs[0].ID, lkp.VMs[1].ID), nil
 }
 
-// onceEdit changes an entry and waits until every entry VM has the edit in force.
-func (sit *Site) onceEdit(*caller.Caller) (note string, err error) {
+// checkEdit changes an entry and waits until the edit is active on every entry VM.
+func (sit *Site) checkEdit(*caller.Caller) (note string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	doc, _, err := sit.Editor.Get(ctx)
@@ -162,11 +162,11 @@
 	})
 	took := time.Since(accepted).Round(time.Millisecond)
 	return fmt.Sprintf("version %d in force at %d entry VMs after %v", acc.Version, len(sit.VMs), took),
-		errors.Wrap(err, "edit not in force everywhere")
+		errors.Wrap(err, "edit is not active on every entry VM")
 }
 
-// onceDrain drains a target and sees that it gets no new work 3 s later.
-func (sit *Site) onceDrain(clr *caller.Caller) (note string, err error) {
+// checkDrain drains a target and checks that it gets no more requests after 3 s.
+func (sit *Site) checkDrain(clr *caller.Caller) (note string, err error) {
 	tgt := sit.Targets["kiosk-core-gulf-a"]
 	tgt.SetDraining(true)
 	answered, before := 0, 0
--- a/internal/stand/vmsrv/vmsrv.go
+++ b/internal/stand/vmsrv/vmsrv.go
@@ -1,6 +1,6 @@
-// Package vmsrv is a stand-in of the platform's list of live and leaving VMs for tests and the demo.
+// Package vmsrv simulates the platform's list of live and leaving VMs for tests and the demo.
 //
-// Edits show in the list only after a lag that can be set; the answer states the lag as its age. Time comes from a
+// Edits become visible in the list after a configurable lag, which the response states as its age. Time comes from a
 // Clock. The list is edited by methods or below /control/.
 package vmsrv
 
@@ -15,16 +15,16 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// maxLag bounds the history that is kept of the list.
+// maxLag bounds the lag and thereby the history of the list that is kept.
 const maxLag = time.Hour
 
 // Config describes a list.
 type Config struct {
 	// Clock gives the time of the lag. Nil means the system's clock.
 	Clock cardamompass.Clock
-	// Lag is the time after which an edit shows, at most one hour.
+	// Lag is the time after which an edit becomes visible, at most one hour.
 	Lag time.Duration
-	// VMs is the list at the start; it shows at once.
+	// VMs is the initial list; it is visible at once.
 	VMs []cardamompass.ListedVM
 }
 
@@ -56,7 +56,7 @@
 	Outage bool  `json:"outage"`
 }
 
-// New returns a list. The clean-up function is there for symmetry with the other stand-ins and does nothing.
+// New returns a list. The clean-up function does nothing; it exists for consistency with the other stand-ins.
 func New(cfg Config) (srv *Server, cleanup func(), err error) {
 	if cfg.Clock == nil {
 		cfg.Clock = cardamompass.SystemClock{}
@@ -78,26 +78,26 @@
 	srv.edit(func([]cardamompass.ListedVM) []cardamompass.ListedVM { return slices.Clone(vms) })
 }
 
-// Put adds vm, or replaces the VM of the same name.
+// Put adds vm, or replaces the VM with the same name.
 func (srv *Server) Put(vm cardamompass.ListedVM) {
 	srv.edit(func(vms []cardamompass.ListedVM) []cardamompass.ListedVM {
 		return append(without(vms, vm.Name), vm)
 	})
 }
 
-// Remove removes the VM of this name.
+// Remove removes the VM with this name.
 func (srv *Server) Remove(nam string) {
 	srv.edit(func(vms []cardamompass.ListedVM) []cardamompass.ListedVM { return without(vms, nam) })
 }
 
-// SetLag sets the time after which an edit shows, at most one hour.
+// SetLag sets the time after which an edit becomes visible, at most one hour.
 func (srv *Server) SetLag(lag time.Duration) {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
 	srv.lag = min(lag, maxLag)
 }
 
-// SetOutage makes the list close connections without an answer.
+// SetOutage makes the list close connections without a response.
 func (srv *Server) SetOutage(out bool) {
 	srv.mut.Lock()
 	defer srv.mut.Unlock()
