--- a/internal/stand/pstore/pstore.go
+++ b/internal/stand/pstore/pstore.go
@@ -1,7 +1,7 @@
 // Package pstore is a stand-in of the platform's metadata store for tests. It speaks the published protocol: items with revisions,
 // ranges in pages, watches, transactions under conditions and leases.
 //
-// Faults are injected by Set: an outage, refusals for some callers, answers that are lost after the write, slow answers and a history
+// Faults are injected by SetFaults: an outage, refusals for some callers, lost replies to writes, slow replies and a history
 // that is discarded.
 package pstore
 
@@ -28,7 +28,7 @@
 	Outage bool
 	// NoReply lets calls wait without an answer until the fault ends.
 	NoReply bool
-	// RefusedIPs answers 503 to callers with these IP numbers.
+	// RefusedIPs answers 503 to callers with these IP addresses.
 	RefusedIPs []string
 	// LoseWriteReplies carries out writes and closes the connection without an answer.
 	LoseWriteReplies bool
--- a/internal/stand/ptarg/ptarg.go
+++ b/internal/stand/ptarg/ptarg.go
@@ -1,7 +1,7 @@
 // Package ptarg is a stand-in of a target on the users' platform for tests. It speaks the published protocol: it echoes the request's
 // id, signs its answers, states its load, refuses requests that expect another instance and sheds what it has no room for.
 //
-// Faults are set for all coming requests by Set. Every run is recorded by the id of its request.
+// Faults are set for all coming requests by SetFault. Every run is recorded by the id of its request.
 package ptarg
 
 import (
