--- a/internal/stand/ptarg/ptarg.go
+++ b/internal/stand/ptarg/ptarg.go
@@ -1,7 +1,7 @@
-// Package ptarg is a stand-in of a target on the users' platform for tests. It speaks the published protocol: it echoes the request's
-// id, signs its answers, states its load, refuses requests that expect another instance and sheds what it has no room for.
+// Package ptarg simulates a target on the users' platform for tests. It implements the published protocol: it echoes the request ID,
+// signs its responses, reports its load, refuses requests that expect another instance and sheds requests beyond its capacity.
 //
-// Faults are set for all coming requests by SetFault. Every run is recorded by the id of its request.
+// SetFault sets the fault of all later requests. Every request that is run is recorded with its ID.
 package ptarg
 
 import (
@@ -17,58 +17,58 @@
 	"time"
 )
 
-// Fault is what a target does wrong with an answer.
+// Fault is a fault that a target injects into its responses.
 type Fault string
 
-// The faults of answers.
+// The faults of responses.
 const (
-	// FaultNone is a proper answer.
+	// FaultNone sends a valid response.
 	FaultNone Fault = ""
 	// FaultReset runs the request and resets the connection.
 	FaultReset Fault = "reset"
-	// FaultTruncated ends the connection in the middle of the body.
+	// FaultTruncated closes the connection in the middle of the body.
 	FaultTruncated Fault = "cut"
-	// FaultGarbage sends bytes that are no answer.
+	// FaultGarbage sends bytes that are not an HTTP response.
 	FaultGarbage Fault = "garbage"
-	// FaultDuplicated sends the answer a second time a little later.
+	// FaultDuplicated sends the response a second time after a short delay.
 	FaultDuplicated Fault = "twice"
-	// FaultUnframed sends an answer without a length that ends with the connection.
+	// FaultUnframed sends a response without a length; the end of the connection ends the body.
 	FaultUnframed Fault = "unframed"
-	// FaultError answers 500.
+	// FaultError runs the request and responds with 500.
 	FaultError Fault = "error"
-	// FaultShed answers 503 and does not run the request.
+	// FaultShed responds with 503 and does not run the request.
 	FaultShed Fault = "shed"
-	// FaultFalse503 runs the request and answers 503 without the promise that it has not.
+	// FaultFalse503 runs the request and responds with 503, without the header Not-Executed.
 	FaultFalse503 Fault = "false-503"
 	// FaultCompressed sends a body with a content encoding.
 	FaultCompressed Fault = "compressed"
-	// FaultUnsigned sends a success without a signature.
+	// FaultUnsigned sends a successful response without a signature.
 	FaultUnsigned Fault = "unsigned"
-	// FaultEarly answers before the body of the request is read.
+	// FaultEarly responds before the body of the request is read.
 	FaultEarly Fault = "early"
-	// FaultNoResponse runs the request and never answers.
+	// FaultNoResponse runs the request and never responds.
 	FaultNoResponse Fault = "silent"
 )
 
 // Config configures a Target.
 type Config struct {
-	// ID is the id of the instance.
+	// ID is the ID of the instance.
 	ID string
-	// Address is where it listens; port 0 for any.
+	// Address is the listen address; port 0 selects a free port.
 	Address string
-	// Slots is the number of requests that it runs at a time.
+	// Slots is the number of concurrent requests that the target reports. Beyond four times this number it sheds requests.
 	Slots int
-	// ServiceTime is how long a request runs.
+	// ServiceTime is the time that a request runs.
 	ServiceTime time.Duration
 }
 
-// Run is one request that a target began to work on.
+// Run is one request that a target started to run.
 type Run struct {
 	ID, Method, Path, Body, Timeout string
 	At                              time.Time
 }
 
-// Target is the stand-in. It is safe for concurrent use.
+// Target is a simulated target. It is safe for concurrent use.
 type Target struct {
 	cfg     Config
 	address string
@@ -78,21 +78,22 @@
 	fault Fault
 	runs  []Run
 	conns int
-	// rest is the time after which an idle connection is forgotten, 0 for never; rested has the idle connections.
-	rest   time.Duration
-	rested map[net.Conn]time.Time
+	// idleLimit is the idle time after which a connection is reset at its next byte, 0 for never; idleSince is the time at which a
+	// connection last became idle.
+	idleLimit time.Duration
+	idleSince map[net.Conn]time.Time
 }
 
-// New starts a target and returns the function that ends it.
+// New starts a target and returns the function that stops it.
 func New(cfg Config) (tgt *Target, cleanup func(), err error) {
 	lsn, err := new(net.ListenConfig).Listen(context.Background(), "tcp", cfg.Address)
 	if err != nil {
 		return nil, nil, err
 	}
 	tgt = &Target{
-		cfg:     cfg,
-		address: lsn.Addr().String(),
-		rested:  make(map[net.Conn]time.Time),
+		cfg:       cfg,
+		address:   lsn.Addr().String(),
+		idleSince: make(map[net.Conn]time.Time),
 	}
 	srv := &http.Server{
 		Handler:           tgt,
@@ -107,25 +108,25 @@
 	}, nil
 }
 
-// Address returns host:port of the target.
+// Address returns the host:port of the target.
 func (tgt *Target) Address() (address string) { return tgt.address }
 
-// SetFault changes the fault of coming answers.
+// SetFault sets the fault of later requests.
 func (tgt *Target) SetFault(flt Fault) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
 	tgt.fault = flt
 }
 
-// DropIdle makes the target reset connections that were idle for longer than rest when the next byte arrives on them, like a target
-// that has lost their state. 0 turns this off.
-func (tgt *Target) DropIdle(rest time.Duration) {
+// DropIdle makes the target reset a connection that was idle for longer than limit when the next byte arrives on it, like a target
+// that has lost the state of the connection. 0 turns this off.
+func (tgt *Target) DropIdle(limit time.Duration) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
-	tgt.rest = rest
+	tgt.idleLimit = limit
 }
 
-// connState counts new connections and resets those that DropIdle covers at their next byte.
+// connState counts new connections and resets those that were idle for longer than the limit of DropIdle.
 func (tgt *Target) connState(con net.Conn, sta http.ConnState) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
@@ -133,33 +134,33 @@
 	case http.StateNew:
 		tgt.conns++
 	case http.StateIdle:
-		tgt.rested[con] = time.Now()
+		tgt.idleSince[con] = time.Now()
 	case http.StateActive:
-		since, ok := tgt.rested[con]
-		if tcp, isTCP := con.(*net.TCPConn); ok && isTCP && tgt.rest > 0 && time.Since(since) > tgt.rest {
-			_ = tcp.SetLinger(0) // closing fails only on a connection that has ended
+		since, ok := tgt.idleSince[con]
+		if tcp, isTCP := con.(*net.TCPConn); ok && isTCP && tgt.idleLimit > 0 && time.Since(since) > tgt.idleLimit {
+			_ = tcp.SetLinger(0) // fails only if the connection is closed already
 			_ = tcp.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(tgt.rested, con)
+		delete(tgt.idleSince, con)
 	}
 }
 
-// Runs returns the requests that began to run.
+// Runs returns the requests that started to run.
 func (tgt *Target) Runs() (runs []Run) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
 	return append(runs, tgt.runs...)
 }
 
-// Connections returns the number of connections that were opened.
+// Connections returns the number of connections that the target accepted.
 func (tgt *Target) Connections() (count int) {
 	tgt.mu.Lock()
 	defer tgt.mu.Unlock()
 	return tgt.conns
 }
 
-// Registration returns the entry of the target in the store.
+// Registration returns the store entry that registers the target.
 func (tgt *Target) Registration(service, zone, state string) (entry map[string]any) {
 	return map[string]any{
 		"addr": tgt.address,
@@ -196,7 +197,7 @@
 		return
 	}
 	if flt == FaultEarly {
-		tgt.raw(wrt, "HTTP/1.1 400 Bad Request\r\nRequest-Id: "+id+"\r\nContent-Length: 2\r\n\r\nno", true)
+		tgt.writeRaw(wrt, "HTTP/1.1 400 Bad Request\r\nRequest-Id: "+id+"\r\nContent-Length: 2\r\n\r\nno", true)
 		return
 	}
 	body, err := io.ReadAll(req.Body)
@@ -220,81 +221,82 @@
 	case <-req.Context().Done():
 		return
 	}
-	tgt.finish(wrt, req, flt, id)
+	tgt.respond(wrt, req, flt, id)
 }
 
-// Body returns the body of the answer to a request.
+// Body returns the body of the response to a request.
 func Body(id string) (body string) { return "answer to " + id + "\n" }
 
-func (tgt *Target) finish(wrt http.ResponseWriter, req *http.Request, flt Fault, id string) {
+func (tgt *Target) respond(wrt http.ResponseWriter, req *http.Request, flt Fault, id string) {
 	body := Body(id)
 	head := fmt.Sprintf("Request-Id: %s\r\nResponse-Seal: seal-%s\r\n", id, id)
-	full := whole(id)
+	full := encodeResponse(id)
 	switch flt {
 	case FaultReset:
 		panic(http.ErrAbortHandler)
 	case FaultTruncated:
-		tgt.raw(wrt, full[:len(full)-5], false)
+		tgt.writeRaw(wrt, full[:len(full)-5], false)
 	case FaultGarbage:
-		tgt.raw(wrt, "\x00\x01 these bytes are no answer\r\n\r\n", false)
+		tgt.writeRaw(wrt, "\x00\x01 these bytes are no answer\r\n\r\n", false)
 	case FaultDuplicated:
-		tgt.raw(wrt, full, true)
+		tgt.writeRaw(wrt, full, true)
 	case FaultUnframed:
-		tgt.raw(wrt, "HTTP/1.1 200 OK\r\n"+head+"Connection: close\r\n\r\n"+body, false)
+		tgt.writeRaw(wrt, "HTTP/1.1 200 OK\r\n"+head+"Connection: close\r\n\r\n"+body, false)
 	case FaultCompressed:
-		tgt.raw(wrt, "HTTP/1.1 200 OK\r\n"+head+"Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx", false)
+		tgt.writeRaw(wrt, "HTTP/1.1 200 OK\r\n"+head+"Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx", false)
 	case FaultUnsigned:
-		tgt.raw(wrt, "HTTP/1.1 200 OK\r\nRequest-Id: "+id+"\r\nContent-Length: 1\r\n\r\nx", false)
+		tgt.writeRaw(wrt, "HTTP/1.1 200 OK\r\nRequest-Id: "+id+"\r\nContent-Length: 1\r\n\r\nx", false)
 	case FaultNoResponse:
 		<-req.Context().Done()
 	case FaultNone, FaultError, FaultFalse503, FaultShed, FaultEarly:
 		wrt.Header().Set("Response-Seal", "seal-"+id)
 		wrt.Header().Set("Server-Load", fmt.Sprintf("%d,0,%d,100", tgt.running.Load()-1, tgt.cfg.Slots))
 		wrt.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		if status, ok := failures[flt]; ok {
+		if status, ok := faultStatuses[flt]; ok {
 			wrt.WriteHeader(status)
 		}
 		_, _ = io.WriteString(wrt, body)
 	}
 }
 
-// failures are the statuses of the faults that are whole answers.
-var failures = map[Fault]int{
+// faultStatuses are the statuses of the faults that send a complete response.
+var faultStatuses = map[Fault]int{
 	FaultError:    http.StatusInternalServerError,
 	FaultFalse503: http.StatusServiceUnavailable,
 }
 
-// raw writes bytes and ends the connection, or with linger keeps it open for a while and writes them once more.
-func (tgt *Target) raw(wrt http.ResponseWriter, text string, linger bool) {
+// writeRaw writes text to the connection and closes it. With duplicate it writes text again after duplicateDelay and serves one more
+// request before it closes the connection.
+func (tgt *Target) writeRaw(wrt http.ResponseWriter, text string, duplicate bool) {
 	con, buf, err := http.NewResponseController(wrt).Hijack()
 	if err != nil {
 		return
 	}
-	defer con.Close() //nolint:errcheck // the connection is given up
+	defer con.Close() //nolint:errcheck // the connection is not used again
 	_, _ = io.WriteString(con, text)
-	if !linger {
+	if !duplicate {
 		return
 	}
-	time.Sleep(surplusDelay)
+	time.Sleep(duplicateDelay)
 	_, _ = io.WriteString(con, text)
 	_ = con.SetReadDeadline(time.Now().Add(time.Second))
 	serveNext(con, buf.Reader)
 }
 
-// surplusDelay is the time after which an answer is sent a second time.
-const surplusDelay = 20 * time.Millisecond
+// duplicateDelay is the time after which a response is sent a second time.
+const duplicateDelay = 20 * time.Millisecond
 
-// serveNext answers one more request on a connection on which an answer was sent twice.
+// serveNext responds to one more request on a connection on which a response was sent twice.
 func serveNext(con net.Conn, rdr *bufio.Reader) {
 	req, err := http.ReadRequest(rdr)
 	if err != nil {
 		return
 	}
-	_, _ = io.WriteString(con, whole(req.Header.Get("Request-Id")))
+	_, _ = io.WriteString(con, encodeResponse(req.Header.Get("Request-Id")))
 }
 
-// whole renders the whole answer to a request.
-func whole(id string) (text string) {
+// encodeResponse encodes the complete response to a request.
+func encodeResponse(id string) (text string) {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\nContent-Length: %d\r\n\r\n%s",
 		id, id, len(Body(id)), Body(id))
 }
