--- a/internal/stand/pstore/calls.go
+++ b/internal/stand/pstore/handlers.go
@@ -53,16 +53,16 @@
 
 func (sto *Store) watch(wrt http.ResponseWriter, req *http.Request) {
 	query := req.URL.Query()
-	after, prefix := number(query.Get("after")), query.Get("prefix")
-	wait := time.NewTimer(time.Duration(number(query.Get("waitMs"))) * time.Millisecond)
-	defer wait.Stop()
-	for over := false; ; {
+	after, prefix := parseNumber(query.Get("after")), query.Get("prefix")
+	timer := time.NewTimer(time.Duration(parseNumber(query.Get("waitMs"))) * time.Millisecond)
+	defer timer.Stop()
+	for timedOut := false; ; {
 		sto.mu.Lock()
 		if sto.faults.Outage {
 			sto.mu.Unlock()
 			ctrl.Abort()
 		}
-		if after < sto.floor {
+		if after < sto.compactedRev {
 			sto.mu.Unlock()
 			wrt.WriteHeader(http.StatusGone)
 			return
@@ -75,7 +75,7 @@
 		}
 		rev, changed := sto.rev, sto.changed
 		sto.mu.Unlock()
-		if len(events) > 0 || over {
+		if len(events) > 0 || timedOut {
 			ctrl.WriteJSON(wrt, http.StatusOK, struct {
 				Events     []item `json:"events"`
 				CurrentRev int64  `json:"currentRev"`
@@ -87,8 +87,8 @@
 		}
 		select {
 		case <-changed:
-		case <-wait.C:
-			over = true
+		case <-timer.C:
+			timedOut = true
 		case <-req.Context().Done():
 			return
 		}
@@ -155,35 +155,35 @@
 	}
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
-	sto.next++
+	sto.lastLeaseID++
 	ttl := time.Duration(body.TTL * float64(time.Second))
-	sto.leases[sto.next] = &lease{
-		ttl: ttl,
-		end: time.Now().Add(ttl),
+	sto.leases[sto.lastLeaseID] = &lease{
+		ttl:       ttl,
+		expiresAt: time.Now().Add(ttl),
 	}
 	ctrl.WriteJSON(wrt, http.StatusOK, map[string]any{
-		"lease":     sto.next,
+		"lease":     sto.lastLeaseID,
 		"ttlS_time": body.TTL,
 	})
 }
 
-func (sto *Store) keep(wrt http.ResponseWriter, req *http.Request) {
+func (sto *Store) renew(wrt http.ResponseWriter, req *http.Request) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
-	lse, ok := sto.leases[number(mux.Vars(req)["id"])]
+	lse, ok := sto.leases[parseNumber(mux.Vars(req)["id"])]
 	if !ok {
 		wrt.WriteHeader(http.StatusNotFound)
 		return
 	}
-	lse.end = time.Now().Add(lse.ttl)
+	lse.expiresAt = time.Now().Add(lse.ttl)
 	ctrl.WriteJSON(wrt, http.StatusOK, map[string]any{
 		"ttlS_time": lse.ttl.Seconds(),
 	})
 }
 
-func (sto *Store) end(wrt http.ResponseWriter, req *http.Request) {
+func (sto *Store) revoke(wrt http.ResponseWriter, req *http.Request) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
-	sto.endLease(number(mux.Vars(req)["id"]))
+	sto.removeLease(parseNumber(mux.Vars(req)["id"]))
 	wrt.WriteHeader(http.StatusOK)
 }
--- a/internal/stand/pstore/pstore.go
+++ b/internal/stand/pstore/pstore.go
@@ -1,8 +1,8 @@
-// Package pstore is a stand-in of the platform's metadata store for tests. It speaks the published protocol: items with revisions,
-// ranges in pages, watches, transactions under conditions and leases.
+// Package pstore simulates the platform's metadata store for tests. It implements the published protocol: items with revisions, paged
+// range reads, watches, conditional transactions and leases.
 //
-// Faults are injected by SetFaults: an outage, refusals for some callers, lost replies to writes, slow replies and a history
-// that is discarded.
+// SetFaults injects faults: an outage, calls without a reply, refusals for some callers, lost replies to writes and slow replies.
+// Compact discards the history.
 package pstore
 
 import (
@@ -19,20 +19,20 @@
 	"cardamompass/internal/stand/ctrl"
 )
 
-// pageItems is the most items of a page; the real store has about 500.
+// pageItems is the maximum number of items in a page; the real store returns about 500.
 const pageItems = 50
 
-// Faults are the faults in force. The zero value is a store without faults.
+// Faults are the injected faults. The zero value injects none.
 type Faults struct {
-	// Outage closes each connection without an answer, those of waiting watches included.
+	// Outage closes each connection without a reply, including those of waiting watches.
 	Outage bool
-	// NoReply lets calls wait without an answer until the fault ends.
+	// NoReply leaves calls without a reply until the caller disconnects.
 	NoReply bool
-	// RefusedIPs answers 503 to callers with these IP addresses.
+	// RefusedIPs lists the IP addresses of callers whose calls get 503.
 	RefusedIPs []string
-	// LoseWriteReplies carries out writes and closes the connection without an answer.
+	// LoseWriteReplies applies writes and closes the connection without a reply.
 	LoseWriteReplies bool
-	// Delay is the time before a call is carried out, DelayLists the one before a range is answered.
+	// Delay is the delay before each call is handled, DelayLists an additional delay before range reads.
 	Delay      time.Duration
 	DelayLists time.Duration
 }
@@ -47,32 +47,32 @@
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Store is the store. It is safe for concurrent use.
+// Store is a simulated metadata store. It is safe for concurrent use.
 type Store struct {
-	mu      sync.Mutex
-	rev     int64
-	floor   int64 // changes up to here are no longer known
-	items   map[string]item
-	history []item
-	leases  map[int64]*lease
-	next    int64
-	faults  Faults
-	changed chan struct{}
-	address string
-}
-
-// New starts a store on an address, with port 0 for any, and returns the function that ends it.
+	mu           sync.Mutex
+	rev          int64
+	compactedRev int64 // changes up to this revision are discarded
+	items        map[string]item
+	history      []item
+	leases       map[int64]*lease
+	lastLeaseID  int64
+	faults       Faults
+	changed      chan struct{}
+	address      string
+}
+
+// New starts a store on an address and returns the function that stops it. Port 0 selects a free port.
 func New(address string) (sto *Store, cleanup func(), err error) {
 	sto = &Store{
-		rev:     1,
-		items:   make(map[string]item),
-		leases:  make(map[int64]*lease),
-		next:    100,
-		changed: make(chan struct{}),
+		rev:         1,
+		items:       make(map[string]item),
+		leases:      make(map[int64]*lease),
+		lastLeaseID: 100,
+		changed:     make(chan struct{}),
 	}
 	rtr := mux.NewRouter()
 	rtr.HandleFunc("/v1/kv-key", sto.get).Methods(http.MethodGet)
@@ -80,9 +80,9 @@
 	rtr.HandleFunc("/v1/kv-watch", sto.watch).Methods(http.MethodGet)
 	rtr.HandleFunc("/v1/kv-txn", sto.txn).Methods(http.MethodPost)
 	rtr.HandleFunc("/v1/kv-lease", sto.grant).Methods(http.MethodPost)
-	rtr.HandleFunc("/v1/kv-keep/{id}", sto.keep).Methods(http.MethodPost)
-	rtr.HandleFunc("/v1/kv-lease-end/{id}", sto.end).Methods(http.MethodDelete)
-	bound, stopServer, err := ctrl.Serve(address, sto.faulty(rtr))
+	rtr.HandleFunc("/v1/kv-keep/{id}", sto.renew).Methods(http.MethodPost)
+	rtr.HandleFunc("/v1/kv-lease-end/{id}", sto.revoke).Methods(http.MethodDelete)
+	bound, stopServer, err := ctrl.Serve(address, sto.injectFaults(rtr))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -97,10 +97,10 @@
 	}, nil
 }
 
-// Address returns host:port of the store.
+// Address returns the host:port of the store.
 func (sto *Store) Address() (address string) { return sto.address }
 
-// SetFaults changes the faults in force. An outage ends waiting watches.
+// SetFaults replaces the injected faults. An outage ends waiting watches.
 func (sto *Store) SetFaults(flt Faults) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
@@ -108,16 +108,16 @@
 	sto.notify()
 }
 
-// Put writes a value as the operator or a target does, without a lease.
+// Put writes a value as JSON without a lease, as the operator or a target does.
 func (sto *Store) Put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // values are made by tests
+		panic(err) // values come from tests, so this is a bug in a test
 	}
 	sto.PutRaw(key, data)
 }
 
-// PutRaw writes bytes.
+// PutRaw writes data without a lease.
 func (sto *Store) PutRaw(key string, data []byte) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
@@ -135,19 +135,19 @@
 func (sto *Store) Compact() {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
-	sto.floor = sto.rev
+	sto.compactedRev = sto.rev
 	sto.history = nil
 	sto.notify()
 }
 
-func (sto *Store) write(key string, data []byte, lse int64) {
+func (sto *Store) write(key string, data []byte, leaseID int64) {
 	sto.rev++
 	itm := item{
 		Key:            key,
 		Value:          data,
 		Rev:            sto.rev,
 		CreateRevision: sto.rev,
-		Lease:          lse,
+		Lease:          leaseID,
 	}
 	if old, ok := sto.items[key]; ok {
 		itm.CreateRevision = old.CreateRevision
@@ -176,7 +176,7 @@
 	sto.changed = make(chan struct{})
 }
 
-// expire ends leases whose time is over.
+// expire removes expired leases and their items until stop is closed.
 func (sto *Store) expire(stop <-chan struct{}) {
 	tck := time.NewTicker(20 * time.Millisecond)
 	defer tck.Stop()
@@ -187,8 +187,8 @@
 		case now := <-tck.C:
 			sto.mu.Lock()
 			for id, lse := range sto.leases {
-				if now.After(lse.end) {
-					sto.endLease(id)
+				if now.After(lse.expiresAt) {
+					sto.removeLease(id)
 				}
 			}
 			sto.mu.Unlock()
@@ -196,7 +196,7 @@
 	}
 }
 
-func (sto *Store) endLease(id int64) {
+func (sto *Store) removeLease(id int64) {
 	delete(sto.leases, id)
 	for key, itm := range sto.items {
 		if itm.Lease == id {
@@ -205,8 +205,8 @@
 	}
 }
 
-// faulty applies the faults in force to a call.
-func (sto *Store) faulty(next http.Handler) (hnd http.Handler) {
+// injectFaults applies the injected faults to each call.
+func (sto *Store) injectFaults(next http.Handler) (hnd http.Handler) {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, req *http.Request) {
 		sto.mu.Lock()
 		flt := sto.faults
@@ -227,21 +227,21 @@
 			time.Sleep(flt.DelayLists)
 		}
 		if flt.LoseWriteReplies && req.Method != http.MethodGet {
-			next.ServeHTTP(discard{}, req)
+			next.ServeHTTP(discardWriter{}, req)
 			ctrl.Abort()
 		}
 		next.ServeHTTP(wrt, req)
 	})
 }
 
-// discard is an answer that nobody gets.
-type discard struct{}
+// discardWriter discards a response.
+type discardWriter struct{}
 
-func (discard) Header() http.Header                    { return make(http.Header) }
-func (discard) Write(data []byte) (num int, err error) { return len(data), nil }
-func (discard) WriteHeader(int)                        {}
+func (discardWriter) Header() http.Header                    { return make(http.Header) }
+func (discardWriter) Write(data []byte) (num int, err error) { return len(data), nil }
+func (discardWriter) WriteHeader(int)                        {}
 
-func number(text string) (num int64) {
-	num, _ = strconv.ParseInt(text, 10, 64) // 0 stands for a missing figure
+func parseNumber(text string) (num int64) {
+	num, _ = strconv.ParseInt(text, 10, 64) // a missing or malformed number counts as 0
 	return num
 }
