--- a/internal/stand/pfleet/caller.go
+++ b/internal/stand/pfleet/caller.go
@@ -17,7 +17,7 @@
 	"cardamompass/internal/stand/ptarg"
 )
 
-// Result is one attempt of a caller to send a request, with its outcome.
+// Result is the outcome of one request that a caller sent or tried to send.
 type Result struct {
 	ID         string
 	Path       string
@@ -25,30 +25,30 @@
 	Idempotent bool
 	// Written is set when the whole request was written.
 	Written bool
-	// Status is 0 when no whole answer came.
+	// Status is 0 when no complete response was received.
 	Status int
-	// Whole is set when a success has the signature and the body of this request.
+	// Whole is set when the response carries the seal and the body that belong to this request.
 	Whole bool
 	At    time.Time
 	Took  time.Duration
 	Err   error
 }
 
-// Callers send requests at a steady rate and keep their connections. They are safe for concurrent use.
+// Callers send requests at a steady rate over kept-alive connections. They are safe for concurrent use.
 type Callers struct {
 	flt    *Fleet
 	client *http.Client
 	next   atomic.Int64
 
-	mu   sync.Mutex
-	sent []Result
-	vms  []string // the last answer to a look-up
+	mu      sync.Mutex
+	results []Result
+	vms     []string // addresses from the last successful look-up
 }
 
-// callerTimeout is how long a caller waits for an answer.
+// callerTimeout is how long a caller waits for a response.
 const callerTimeout = 3 * time.Second
 
-// NewCallers returns callers and the function that closes their connections.
+// NewCallers returns callers and a function that closes their idle connections.
 func NewCallers(flt *Fleet) (cls *Callers, cleanup func()) {
 	trn := &http.Transport{
 		DialContext: (&net.Dialer{
@@ -65,10 +65,10 @@
 	}, trn.CloseIdleConnections
 }
 
-// Lookup asks the VMs for addresses and keeps the answer for coming requests.
+// Lookup queries the VMs in random order until one returns addresses, and keeps these for the requests that follow.
 func (cls *Callers) Lookup(ctx context.Context) (addresses []string, err error) {
 	for _, num := range rand.Perm(len(cls.flt.VMs)) {
-		if addresses, err = cls.ask(ctx, cls.flt.VMs[num]); err == nil {
+		if addresses, err = cls.resolve(ctx, cls.flt.VMs[num]); err == nil {
 			cls.mu.Lock()
 			cls.vms = addresses
 			cls.mu.Unlock()
@@ -78,7 +78,7 @@
 	return nil, err
 }
 
-func (cls *Callers) ask(ctx context.Context, vmc *VM) (addresses []string, err error) {
+func (cls *Callers) resolve(ctx context.Context, vmc *VM) (addresses []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet,
@@ -90,18 +90,18 @@
 	if err != nil {
 		return nil, err
 	}
-	defer rsp.Body.Close() //nolint:errcheck // the body is read whole or given up
-	var ans struct {
+	defer rsp.Body.Close() //nolint:errcheck // the body is only read, and read errors are returned
+	var doc struct {
 		Addresses []string `json:"addresses"`
 	}
-	if err = json.NewDecoder(rsp.Body).Decode(&ans); err != nil || len(ans.Addresses) == 0 {
+	if err = json.NewDecoder(rsp.Body).Decode(&doc); err != nil || len(doc.Addresses) == 0 {
 		return nil, fmt.Errorf("look-up at %s: status %d, %w", vmc.IP, rsp.StatusCode, err)
 	}
-	return ans.Addresses, nil
+	return doc.Addresses, nil
 }
 
-// Send sends one request to a VM that the last look-up named.
-func (cls *Callers) Send(ctx context.Context, path string, idempotent bool) (snt Result) {
+// Send sends one request to a random VM from the last look-up.
+func (cls *Callers) Send(ctx context.Context, path string, idempotent bool) (res Result) {
 	cls.mu.Lock()
 	address := ""
 	if len(cls.vms) > 0 {
@@ -112,9 +112,9 @@
 }
 
 // SendTo sends one request to an address.
-func (cls *Callers) SendTo(ctx context.Context, address, path string, idempotent bool) (snt Result) {
+func (cls *Callers) SendTo(ctx context.Context, address, path string, idempotent bool) (res Result) {
 	id := fmt.Sprintf("c-%08d", cls.next.Add(1))
-	snt = Result{
+	res = Result{
 		ID:         id,
 		Path:       path,
 		VM:         address,
@@ -122,9 +122,9 @@
 		At:         time.Now(),
 	}
 	defer func() {
-		snt.Took = time.Since(snt.At)
+		res.Took = time.Since(res.At)
 		cls.mu.Lock()
-		cls.sent = append(cls.sent, snt)
+		cls.results = append(cls.results, res)
 		cls.mu.Unlock()
 	}()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("body of "+id))
@@ -133,14 +133,14 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, body)
 	if err != nil {
-		snt.Err = err
-		return snt
+		res.Err = err
+		return res
 	}
 	var written atomic.Bool
 	req = req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteRequest: func(inf httptrace.WroteRequestInfo) { written.Store(inf.Err == nil) },
 	}))
-	defer func() { snt.Written = written.Load() }()
+	defer func() { res.Written = written.Load() }()
 	req.Host = Host
 	req.Header.Set("Request-Id", id)
 	req.Header.Set("Timeout-Ms", fmt.Sprint(callerTimeout.Milliseconds()))
@@ -150,43 +150,43 @@
 	})
 	rsp, err := cls.client.Do(req)
 	if err != nil {
-		snt.Err = err
-		return snt
+		res.Err = err
+		return res
 	}
-	defer rsp.Body.Close() //nolint:errcheck // the body is read whole or given up
+	defer rsp.Body.Close() //nolint:errcheck // the body is only read, and read errors are returned
 	data, err := io.ReadAll(rsp.Body)
-	if snt.Err = err; err != nil {
-		return snt
+	if res.Err = err; err != nil {
+		return res
 	}
-	snt.Status = rsp.StatusCode
-	snt.Whole = rsp.Header.Get("Response-Seal") == "seal-"+id && string(data) == ptarg.Body(id)
-	return snt
+	res.Status = rsp.StatusCode
+	res.Whole = rsp.Header.Get("Response-Seal") == "seal-"+id && string(data) == ptarg.Body(id)
+	return res
 }
 
-// Run sends requests at a rate a second until ctx ends, half of them idempotent, and looks up every half second. It returns when all
-// have ended.
+// Run sends perSecond requests per second until ctx ends, half of them idempotent, and looks up addresses every half second. It returns
+// when all requests have ended.
 func (cls *Callers) Run(ctx context.Context, perSecond int, path func(idempotent bool) string) {
-	var under sync.WaitGroup
-	_, _ = cls.Lookup(ctx) // requests without an address fail and show that
+	var pending sync.WaitGroup
+	_, _ = cls.Lookup(ctx) // without an address the requests fail, which their results show
 	tck := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer tck.Stop()
 	for num := 0; ctx.Err() == nil; num++ {
 		if num%(perSecond/2) == 0 {
-			under.Go(func() { _, _ = cls.Lookup(ctx) }) // without an answer the last one is used
+			pending.Go(func() { _, _ = cls.Lookup(ctx) }) // on failure the addresses of the last look-up stay in use
 		}
 		idempotent := num%2 == 0
-		under.Go(func() { cls.Send(context.WithoutCancel(ctx), path(idempotent), idempotent) })
+		pending.Go(func() { cls.Send(context.WithoutCancel(ctx), path(idempotent), idempotent) })
 		select {
 		case <-ctx.Done():
 		case <-tck.C:
 		}
 	}
-	under.Wait()
+	pending.Wait()
 }
 
-// Results returns the results of all requests so far.
-func (cls *Callers) Results() (sent []Result) {
+// Results returns the results of all requests that have ended so far.
+func (cls *Callers) Results() (results []Result) {
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
-	return append(sent, cls.sent...)
+	return append(results, cls.results...)
 }
--- a/internal/stand/pfleet/check.go
+++ b/internal/stand/pfleet/check.go
@@ -7,81 +7,84 @@
 	"time"
 )
 
-// Violations returns what broke a promise to callers or targets, from what both saw: work that ran twice, refusals of work that ran,
-// answers that are not whole or not the caller's own, requests that changed on their way, and more repeats than allowed.
-func Violations(sent []Result, targets []*Target) (found []string) {
-	bySent := make(map[string]Result, len(sent))
-	for _, snt := range sent {
-		bySent[snt.ID] = snt
-		if snt.Status == http.StatusOK && !snt.Whole {
-			found = append(found, fmt.Sprintf("%s: a success that is not the whole answer to this request", snt.ID))
+// Violations compares the callers' results with the runs at the targets and returns the violated guarantees: non-idempotent requests
+// that ran more than once, refused requests that ran, responses that are incomplete or belong to another request, requests that were
+// altered on the way, and more retries than allowed.
+func Violations(results []Result, targets []*Target) (found []string) {
+	byID := make(map[string]Result, len(results))
+	for _, res := range results {
+		byID[res.ID] = res
+		if res.Status == http.StatusOK && !res.Whole {
+			found = append(found, fmt.Sprintf("%s: status 200, but the seal or the body of the response does not match the request", res.ID))
 		}
 	}
 	runs := make(map[string]int)
-	var repeats []time.Time
+	var retries []time.Time
 	for _, tgt := range targets {
 		for _, run := range tgt.Runs() {
 			runs[run.ID]++
 			if runs[run.ID] > 1 {
-				repeats = append(repeats, run.At)
+				retries = append(retries, run.At)
 			}
-			snt, ok := bySent[run.ID]
+			res, ok := byID[run.ID]
 			want := "body of " + run.ID
-			if snt.Idempotent {
+			if res.Idempotent {
 				want = ""
 			}
-			if !ok || run.Path != snt.Path || run.Body != want {
-				found = append(found, fmt.Sprintf("%s: ran as %s %s with body %q, which nobody sent", run.ID, run.Method, run.Path, run.Body))
+			if !ok || run.Path != res.Path || run.Body != want {
+				found = append(found, fmt.Sprintf("%s: ran as %s %s with body %q, but no such request was sent",
+					run.ID, run.Method, run.Path, run.Body))
 			}
 		}
 	}
 	for id, count := range runs {
-		snt := bySent[id]
+		res := byID[id]
 		switch {
-		case snt.Idempotent:
+		case res.Idempotent:
 		case count > 1:
-			found = append(found, fmt.Sprintf("%s: ran %d times, status %d", id, count, snt.Status))
-		case refusal(snt.Status):
-			found = append(found, fmt.Sprintf("%s: refused with %d, but it ran", id, snt.Status))
+			found = append(found, fmt.Sprintf("%s: non-idempotent request ran %d times, status %d", id, count, res.Status))
+		case isRefusal(res.Status):
+			found = append(found, fmt.Sprintf("%s: refused with status %d, but a target ran it", id, res.Status))
 		}
 	}
-	return append(found, tooManyRepeats(sent, repeats)...)
+	return append(found, tooManyRetries(results, retries)...)
 }
 
-func refusal(status int) (ok bool) {
+func isRefusal(status int) (ok bool) {
 	return slices.Contains([]int{
 		http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 	}, status)
 }
 
-// tooManyRepeats checks the bound on repeats in every window of ten seconds.
-func tooManyRepeats(sent []Result, repeats []time.Time) (found []string) {
+// tooManyRetries reports the first window of 10 s whose retries exceed RetryRatio times the requests plus RetrySlack. It counts the
+// requests sent from 5 s before the window until its end.
+func tooManyRetries(results []Result, retries []time.Time) (found []string) {
 	const window = 10 * time.Second
-	slices.SortFunc(repeats, time.Time.Compare)
-	for num, begin := range repeats {
+	slices.SortFunc(retries, time.Time.Compare)
+	for num, begin := range retries {
 		count, requests := 0, 0
-		for _, tim := range repeats[num:] {
+		for _, tim := range retries[num:] {
 			if tim.Sub(begin) < window {
 				count++
 			}
 		}
-		for _, snt := range sent {
-			if ela := snt.At.Sub(begin); ela > -window/2 && ela < window {
+		for _, res := range results {
+			if ela := res.At.Sub(begin); ela > -window/2 && ela < window {
 				requests++
 			}
 		}
 		if float64(count) > RetryRatio*float64(requests)+RetrySlack {
-			return []string{fmt.Sprintf("%d repeats within 10 s of %v, with %d requests", count, begin, requests)}
+			return []string{fmt.Sprintf("%d retries within 10 s of %v, with %d requests", count, begin, requests)}
 		}
 	}
 	return nil
 }
 
-// RunsAfter returns the runs at a target of requests that were sent later than a moment.
-func RunsAfter(sent []Result, tgt *Target, moment time.Time) (count int) {
+// RunsAfter returns how many runs at a target belong to requests that were sent after a moment.
+func RunsAfter(results []Result, tgt *Target, moment time.Time) (count int) {
 	late := make(map[string]bool)
-	for _, snt := range sent {
-		late[snt.ID] = snt.At.After(moment)
+	for _, res := range results {
+		late[res.ID] = res.At.After(moment)
 	}
 	for _, run := range tgt.Runs() {
 		if late[run.ID] {
@@ -91,12 +94,12 @@
 	return count
 }
 
-// Unanswered returns the requests that were written whole and have no answer.
-func Unanswered(sent []Result) (cut []Result) {
-	for _, snt := range sent {
-		if snt.Err != nil && snt.Written {
-			cut = append(cut, snt)
+// Unanswered returns the results of requests that were written completely but got no complete response.
+func Unanswered(results []Result) (unanswered []Result) {
+	for _, res := range results {
+		if res.Err != nil && res.Written {
+			unanswered = append(unanswered, res)
 		}
 	}
-	return cut
+	return unanswered
 }
--- a/internal/stand/pfleet/pfleet.go
+++ b/internal/stand/pfleet/pfleet.go
@@ -1,6 +1,6 @@
-// Package pfleet runs a small site as the users' platform does, for tests: real entry VM processes on loopback addresses of their own,
-// with a stand-in of the store and stand-ins of the targets in the test's process. Fault proxies stand before the store, one for each
-// VM, and before each target.
+// Package pfleet runs a small site for tests, set up as on the users' platform: real entry VM processes, each on its own loopback
+// address, and fakes of the store and of the targets in the test process. A fault proxy sits between each VM and the store, and one
+// in front of each target.
 package pfleet
 
 import (
@@ -21,13 +21,13 @@
 	"cardamompass/internal/stand/ptarg"
 )
 
-// Service and Host name the only service and the host of its routes.
+// Service and Host are the names of the only service and of the host in its routes.
 const (
 	Service = "svc-1"
 	Host    = "site.example"
 )
 
-// Bounds of the site, written into each settings file. They are those of a small site of the first users.
+// Bounds of a small site of the first users. GraceTime, RetryRatio and RetrySlack are written into each settings file.
 const (
 	DrainBound  = 2 * time.Second
 	ConfigBound = 2 * time.Second
@@ -41,12 +41,12 @@
 
 // Config configures a Fleet.
 type Config struct {
-	// Dir holds settings and logs.
+	// Dir is the directory for settings files and logs.
 	Dir string
-	// VMs and Targets are their numbers, spread over the failure domains.
+	// VMs and Targets are the numbers of VMs and targets, which are spread over the failure domains.
 	VMs     int
 	Targets int
-	// Slots and Work describe the targets.
+	// Slots and ServiceTime configure each target.
 	Slots       int
 	ServiceTime time.Duration
 }
@@ -54,29 +54,29 @@
 // VM is an entry VM process.
 type VM struct {
 	*procs.Process
-	// IP is its address.
+	// IP is the loopback address that the VM listens on.
 	IP string
-	// StoreProxy carries its calls to the store.
+	// StoreProxy forwards the VM's calls to the store.
 	StoreProxy *fault.Proxy
 	settings   string
 }
 
-// CallerAddress is where callers reach the VM, LookupAddress where they look up, ReadyAddress where its readiness is checked.
+// CallerAddress is the address for requests of callers.
 func (vmc *VM) CallerAddress() (address string) { return net.JoinHostPort(vmc.IP, "8161") }
 
-// LookupAddress is where callers look up.
+// LookupAddress is the address for look-ups of callers.
 func (vmc *VM) LookupAddress() (address string) { return net.JoinHostPort(vmc.IP, "8164") }
 
-// ReadyAddress is where the VM's readiness is checked.
+// ReadyAddress is the address for readiness checks.
 func (vmc *VM) ReadyAddress() (address string) { return net.JoinHostPort(vmc.IP, "8167") }
 
-// MetricsAddress is where the VM's metrics are served.
+// MetricsAddress is the address that serves the VM's metrics.
 func (vmc *VM) MetricsAddress() (address string) { return net.JoinHostPort(vmc.IP, "9464") }
 
 // SettingsPath is the path of the VM's settings file.
 func (vmc *VM) SettingsPath() (path string) { return vmc.settings }
 
-// Target is a target behind a proxy.
+// Target is a fake target behind a fault proxy.
 type Target struct {
 	*ptarg.Target
 	ID    string
@@ -84,7 +84,7 @@
 	Proxy *fault.Proxy
 }
 
-// Fleet is the site.
+// Fleet is a site of VMs and targets with their store.
 type Fleet struct {
 	Store   *pstore.Store
 	VMs     []*VM
@@ -95,7 +95,7 @@
 	next     int
 }
 
-// New starts the store and the targets and prepares the VMs, which Start starts. The function returned ends everything.
+// New starts the store and the targets and prepares the VMs, which Start starts. The returned function stops them all.
 func New(cfg Config) (flt *Fleet, cleanup func(), err error) {
 	flt = &Fleet{
 		cfg: cfg,
@@ -164,14 +164,15 @@
 	return tgt, nil
 }
 
-// Register writes the target's entry as the target does.
+// Register writes the target's registration to the store as a target does, but with the address of its proxy.
 func (flt *Fleet) Register(tgt *Target, state string) {
 	ent := tgt.Registration(Service, tgt.Zone, state)
 	ent["addr"] = tgt.Proxy.Address()
 	flt.Store.Put("servers/"+tgt.ID, ent)
 }
 
-// Configure writes the operator's configuration with a version and the prefixes of idempotent and other routes.
+// Configure writes the operator's configuration to the store: its version and the path prefixes of idempotent (reads) and
+// non-idempotent (writes) routes.
 func (flt *Fleet) Configure(version int, reads, writes []string) {
 	routes := []map[string]any{}
 	for _, prefix := range slices.Concat(reads, writes) {
@@ -224,7 +225,7 @@
 	return prx, err
 }
 
-// prepare writes the settings of a VM.
+// prepare writes the settings file of a VM and sets up its process and its store proxy.
 func (flt *Fleet) prepare(num int, ip string) (err error) {
 	prx, err := flt.proxy(flt.Store.Address())
 	if err != nil {
