--- a/cmd/cardamompass/caller.go
+++ b/cmd/cardamompass/caller.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	if _, err := fmt.Fprintf(env.Err, "outcome=%s status=%d vm=%s sendings=%d request-id=%s ticket=%s reason=%q\n",
-		rsp.Outcome, rsp.Status, rsp.VM, rsp.Sendings, cmd.ID, rsp.Ticket, rsp.Reason); err != nil {
+		rsp.Outcome, rsp.Status, rsp.VM, rsp.Attempts, cmd.ID, rsp.Ticket, rsp.Reason); err != nil {
 		return err
 	}
 	if rsp.Outcome != cardamompass.OutcomeAnswered {
--- a/internal/load/bench/site.go
+++ b/internal/load/bench/site.go
@@ -201,7 +201,7 @@
 
 func outcomeOf(rsp caller.Response, err error) (oct Outcome) {
 	oct = Outcome{
-		Sendings: max(1, rsp.Sendings),
+		Sendings: max(1, rsp.Attempts),
 		Bytes:    len(rsp.Body),
 	}
 	switch {
--- a/internal/load/caller/caller.go
+++ b/internal/load/caller/caller.go
@@ -1,8 +1,8 @@
-// Package caller is a caller of the system: it looks up entry VMs, keeps the answer for its max-age, sends requests and
-// sends them again to the next VM when that is safe.
+// Package caller implements a client of the system: it looks up entry VMs, caches the look-up response for its max-age, sends
+// requests, and retries them on the next VM when that is safe.
 //
-// A request is sent again with the same id. An idempotent one is sent again after any failure. A non-idempotent one is sent again
-// with the ticket of its first sending, so that it can't run twice; only after a not-run does it get a new ticket.
+// A retry carries the same request ID. An idempotent request is retried after any failure. A non-idempotent request is retried
+// with the ticket of its first attempt, so that it can't run twice; it gets a new ticket only after the outcome not-run.
 package caller
 
 import (
@@ -23,23 +23,23 @@
 )
 
 const (
-	// defaultTries is the number of sendings of one request.
-	defaultTries = 3
-	// resendPause is the time before a request is sent again, doubled with each sending.
-	resendPause = 20 * time.Millisecond
+	// defaultMaxAttempts is the default limit of attempts per request.
+	defaultMaxAttempts = 3
+	// initialRetryDelay is the delay before the first retry; it doubles with each attempt.
+	initialRetryDelay = 20 * time.Millisecond
 	// lookupTimeout bounds one look-up at one entry VM.
 	lookupTimeout = 2 * time.Second
 )
 
 // Config configures a Caller.
 type Config struct {
-	// Entries are addresses of entry VMs, host:port by IP number, at which look-ups are made.
+	// Entries are the addresses of the entry VMs that are used for look-ups, as host:port with an IP address.
 	Entries []string
-	// Region is the caller's region; empty if its address tells.
+	// Region is the caller's region; if empty, it is derived from the caller's address.
 	Region cardamompass.Region
-	// Tries is the number of sendings of one request; 0 means 3.
-	Tries int
-	// Client sends the requests; nil means a client of its own.
+	// MaxAttempts limits the attempts per request; 0 means 3.
+	MaxAttempts int
+	// Client sends the requests; if nil, New creates one.
 	Client *http.Client
 }
 
@@ -55,7 +55,7 @@
 	Timeout    time.Duration
 }
 
-// Response is what came back.
+// Response is the response to a request, with the attempts that were made.
 type Response struct {
 	Outcome cardamompass.Outcome
 	// Reason is set for refusals.
@@ -63,9 +63,9 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// VM is the entry VM that answered last, Sendings the number of sendings.
+	// VM is the entry VM of the last attempt, Attempts the number of attempts.
 	VM       cardamompass.VMID
-	Sendings int
+	Attempts int
 	// Ticket is the ticket of a non-idempotent request.
 	Ticket string
 }
@@ -74,20 +74,21 @@
 type Caller struct {
 	cfg   Config
 	mtx   sync.Mutex
-	held  map[cardamompass.ServiceName]answer
-	start int
+	cache map[cardamompass.ServiceName]cachedLookup
+	// firstEntry is the index of the entry VM that look-ups try first.
+	firstEntry int
 }
 
-// answer is a look-up answer that is kept until it is too old.
-type answer struct {
-	rsp  lookup.Response
-	ends time.Time
+// cachedLookup is a look-up response that is cached until it expires.
+type cachedLookup struct {
+	rsp       lookup.Response
+	expiresAt time.Time
 }
 
 // New returns a Caller and the function that closes its idle connections.
 func New(cfg Config) (clr *Caller, cleanup func()) {
-	if cfg.Tries == 0 {
-		cfg.Tries = defaultTries
+	if cfg.MaxAttempts == 0 {
+		cfg.MaxAttempts = defaultMaxAttempts
 	}
 	if cfg.Client == nil {
 		trp := http.DefaultTransport.(*http.Transport).Clone()
@@ -99,35 +100,35 @@
 		}
 	}
 	clr = &Caller{
-		cfg:  cfg,
-		held: make(map[cardamompass.ServiceName]answer),
+		cfg:   cfg,
+		cache: make(map[cardamompass.ServiceName]cachedLookup),
 	}
 	return clr, cfg.Client.CloseIdleConnections
 }
 
-// Lookup returns the entry VMs for a service, from the answer that is kept if it is young enough.
+// Lookup returns the entry VMs for a service, from the cache if the cached response has not expired.
 func (clr *Caller) Lookup(ctx context.Context, service cardamompass.ServiceName) (rsp lookup.Response, err error) {
 	defer func() { err = errors.Wrap(err, "look-up") }()
 	clr.mtx.Lock()
-	held, ok := clr.held[service]
-	start := clr.start
+	cached, ok := clr.cache[service]
+	first := clr.firstEntry
 	clr.mtx.Unlock()
-	if ok && time.Now().Before(held.ends) {
-		return held.rsp, nil
+	if ok && time.Now().Before(cached.expiresAt) {
+		return cached.rsp, nil
 	}
 	err = errors.New("no entry VM is configured")
 	for num := range clr.cfg.Entries {
-		pos := (start + num) % len(clr.cfg.Entries)
+		pos := (first + num) % len(clr.cfg.Entries)
 		sent := time.Now()
-		rsp, err = clr.ask(ctx, clr.cfg.Entries[pos], service)
+		rsp, err = clr.lookupAt(ctx, clr.cfg.Entries[pos], service)
 		if err != nil {
 			continue
 		}
 		clr.mtx.Lock()
-		clr.start = pos
-		clr.held[service] = answer{
-			rsp:  rsp,
-			ends: sent.Add(time.Duration(rsp.MaxAgeMillis) * time.Millisecond),
+		clr.firstEntry = pos
+		clr.cache[service] = cachedLookup{
+			rsp:       rsp,
+			expiresAt: sent.Add(time.Duration(rsp.MaxAgeMillis) * time.Millisecond),
 		}
 		clr.mtx.Unlock()
 		return rsp, nil
@@ -135,7 +136,7 @@
 	return rsp, err
 }
 
-func (clr *Caller) ask(ctx context.Context, address string, service cardamompass.ServiceName) (rsp lookup.Response, err error) {
+func (clr *Caller) lookupAt(ctx context.Context, address string, service cardamompass.ServiceName) (rsp lookup.Response, err error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	query := url.Values{
@@ -163,21 +164,21 @@
 	return rsp, json.Unmarshal(data, &rsp)
 }
 
-// forget drops the kept answer for a service, because a VM that it names failed.
-func (clr *Caller) forget(service cardamompass.ServiceName) {
+// invalidate removes the cached look-up response of a service, after a request to a VM that it lists failed.
+func (clr *Caller) invalidate(service cardamompass.ServiceName) {
 	clr.mtx.Lock()
 	defer clr.mtx.Unlock()
-	delete(clr.held, service)
+	delete(clr.cache, service)
 }
 
-// Do sends a request and returns the last answer. An error means that no entry VM answered; whether a request ran is then
-// unknown.
+// Do sends a request, with retries, and returns the last response. An error means that the last look-up or attempt got no valid
+// response; whether the request ran is then unknown.
 func (clr *Caller) Do(ctx context.Context, req Request) (rsp Response, err error) {
 	ctx, cancel := context.WithTimeout(ctx, req.Timeout)
 	defer cancel()
 	ticket, attempt := "", 0
-	pause := resendPause
-	for num := range clr.cfg.Tries {
+	delay := initialRetryDelay
+	for num := range clr.cfg.MaxAttempts {
 		var lkp lookup.Response
 		if lkp, err = clr.Lookup(ctx, req.Service); err != nil {
 			return rsp, err
@@ -188,30 +189,30 @@
 		attempt++
 		vmr := lkp.VMs[num%len(lkp.VMs)]
 		rsp, err = clr.SendTo(ctx, vmr, req, ticket, attempt)
-		rsp.VM, rsp.Sendings, rsp.Ticket = vmr.ID, num+1, ticket
-		if err == nil && !mayResend(rsp, req) || ctx.Err() != nil {
+		rsp.VM, rsp.Attempts, rsp.Ticket = vmr.ID, num+1, ticket
+		if err == nil && !canRetry(rsp, req) || ctx.Err() != nil {
 			return rsp, err
 		}
 		if err != nil {
-			clr.forget(req.Service)
+			clr.invalidate(req.Service)
 		}
 		if err == nil && rsp.Outcome == cardamompass.OutcomeNotRun && !req.Idempotent {
-			// The operation did not run and its ticket's home may be gone for good, so it is sent as a new one.
-			clr.forget(req.Service)
+			// The operation did not run, and the home VM of its ticket may have left permanently, so it is retried with a new ticket.
+			clr.invalidate(req.Service)
 			ticket = ""
 		}
 		select {
 		case <-ctx.Done():
 			return rsp, err
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		pause *= 2
+		delay *= 2
 	}
 	return rsp, err
 }
 
-// mayResend reports whether another sending can help and is safe.
-func mayResend(rsp Response, req Request) bool {
+// canRetry reports whether a retry is safe and can succeed.
+func canRetry(rsp Response, req Request) bool {
 	switch rsp.Outcome {
 	case cardamompass.OutcomeNotRun:
 		return true
@@ -235,7 +236,7 @@
 	if err != nil {
 		return rsp, err
 	}
-	// net/http sends a request again on its own if it can get the body anew; this package decides on that.
+	// With GetBody set, net/http may retry a request on its own; retries are left to this package.
 	rqs.GetBody = nil
 	for name, values := range req.Header {
 		rqs.Header[name] = values
@@ -265,7 +266,7 @@
 		return Response{}, err
 	}
 	if got := res.Header.Get(cardamompass.HeaderRequestID); got != string(req.ID) {
-		return Response{}, errors.Errorf("answer is for request %q", got)
+		return Response{}, errors.Errorf("response is for request %q", got)
 	}
 	if rsp.Outcome != cardamompass.OutcomeAnswered {
 		var rfs struct {
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -29,9 +29,9 @@
 		entries = append(entries, vmp.CallerAddress)
 	}
 	clr, stop := caller.New(caller.Config{
-		Entries: entries,
-		Region:  reg,
-		Tries:   1,
+		Entries:     entries,
+		Region:      reg,
+		MaxAttempts: 1,
 	})
 	defer stop()
 	for seq := 0; ctx.Err() == nil; seq++ {
--- a/internal/proof/whole_test.go
+++ b/internal/proof/whole_test.go
@@ -63,7 +63,7 @@
 				req := shortRequest(fmt.Sprintf("kill-%d-%d", num, seq))
 				rsp, err := clr.Do(context.Background(), req)
 				fls.add(whole(req, rsp, err))
-				if rsp.Sendings > 1 {
+				if rsp.Attempts > 1 {
 					many.Add(1)
 				}
 			}
