--- a/cmd/cardamompass/rounds.go
+++ b/cmd/cardamompass/rounds.go
@@ -14,18 +14,18 @@
 
 // Run prints the scores in the journal, oldest first.
 func (cmd *RoundsCmd) Run(env Env) (err error) {
-	rds, err := rounds.Read(cmd.Journal)
+	scores, err := rounds.Read(cmd.Journal)
 	if err != nil {
 		return err
 	}
-	for _, rnd := range rds {
+	for _, scr := range scores {
 		if _, err = fmt.Fprintf(env.Out, "at=%s site=%s days=%d worth=%.3f mark=%.3f why=%q\n",
-			rnd.At.Format("2006-01-02T15:04:05"), rnd.Site, rnd.Days, rnd.Worth, rnd.Mark, rnd.Why); err != nil {
+			scr.At.Format("2006-01-02T15:04:05"), scr.Site, scr.Days, scr.Worth, scr.FullScore, scr.Reason); err != nil {
 			return err
 		}
 	}
 	if cmd.Plot == "" {
 		return nil
 	}
-	return rounds.WritePlot(rds, cmd.Plot)
+	return rounds.WritePlot(scores, cmd.Plot)
 }
--- a/internal/load/rounds/latency.go
+++ b/internal/load/rounds/latency.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 )
 
-// Day is one day by kind of request.
+// Day holds the latencies of one day by kind of request.
 type Day struct {
-	// Name is the name of the report's file without its extension.
+	// Name is the file name of the report without its extension.
 	Name  string
 	Kinds []Kind
 }
@@ -19,12 +19,12 @@
 // Kind is the latency of a kind of request on one day.
 type Kind struct {
 	Name string
-	// Requests is the number of requests, InAim how many of them were answered within the aim.
+	// Requests is the number of requests, InAim the number of them that were answered within the latency aim.
 	Requests, InAim int
 	Median, P99     time.Duration
 }
 
-// report is what the bench writes for one day; fields that are not used are left out.
+// report is the bench's report of one day, reduced to the fields that are used.
 type report struct {
 	Classes []struct {
 		Name  string  `json:"name"`
@@ -35,12 +35,12 @@
 	} `json:"classes"`
 }
 
-// ReadDay returns the latencies in the report of one day, as `fleetbench run --report` writes it. A report without kinds is an error.
-// Its errors name the file.
+// ReadDay reads the report of one day, as written by `fleetbench run --report`. A report without kinds of requests is an error.
+// Errors name the file.
 func ReadDay(path string) (day Day, err error) {
 	defer func() { err = errors.Wrap(err, filepath.Base(path)) }()
 	var rep report
-	if err = readFile(path, &rep); err != nil {
+	if err = readJSON(path, &rep); err != nil {
 		return day, err
 	}
 	if len(rep.Classes) == 0 {
@@ -52,18 +52,18 @@
 			Name:     cls.Name,
 			Requests: cls.N,
 			InAim:    cls.InAim,
-			Median:   milliseconds(cls.P50),
-			P99:      milliseconds(cls.P99),
+			Median:   fromMilliseconds(cls.P50),
+			P99:      fromMilliseconds(cls.P99),
 		})
 	}
 	return day, nil
 }
 
-func milliseconds(num float64) (dur time.Duration) {
+func fromMilliseconds(num float64) (dur time.Duration) {
 	return time.Duration(num * float64(time.Millisecond))
 }
 
-// kindNames returns the names of the kinds of all days in alphabetical order.
+// kindNames returns the distinct names of the kinds of all days in alphabetical order.
 func kindNames(days []Day) (names []string) {
 	for _, day := range days {
 		for _, knd := range day.Kinds {
--- a/internal/load/rounds/plot.go
+++ b/internal/load/rounds/plot.go
@@ -11,42 +11,43 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// WritePlot writes the mean worth of each score, a line for each site, and the mean mark of the site as a thin line, as a PNG file.
-func WritePlot(rds []Round, path string) (err error) {
+// WritePlot writes a PNG file with one line per site for the mean worth of its scores, and a thin line for the mean worth that a full
+// score requires.
+func WritePlot(scores []Score, path string) (err error) {
 	defer func() { err = errors.Wrap(err, "plot") }()
-	if len(rds) == 0 {
+	if len(scores) == 0 {
 		return errors.New("the journal has no scores")
 	}
 	drw := plot.New()
-	drw.Title.Text = "mean worth of the standard days; thin: mean mark"
+	drw.Title.Text = "mean worth of the standard days; thin: mean worth of a full score"
 	drw.X.Label.Text = "score of the site"
 	drw.Y.Label.Text = "worth"
 	drw.Legend.Left = true
 	drw.Add(plotter.NewGrid())
-	for num, site := range Sites(rds) {
-		var worth, mark plotter.XYs
-		for pos, rnd := range whole(rds, site) {
-			worth = append(worth, plotter.XY{X: float64(pos + 1), Y: rnd.Worth})
-			mark = append(mark, plotter.XY{X: float64(pos + 1), Y: rnd.Mark})
+	for num, site := range Sites(scores) {
+		var worth, fullScore plotter.XYs
+		for pos, scr := range completeScores(scores, site) {
+			worth = append(worth, plotter.XY{X: float64(pos + 1), Y: scr.Worth})
+			fullScore = append(fullScore, plotter.XY{X: float64(pos + 1), Y: scr.FullScore})
 		}
 		if err = addPoints(drw, site, num, worth); err != nil {
 			return err
 		}
-		if err = addThin(drw, plotutil.Color(num), mark); err != nil {
+		if err = addDashed(drw, plotutil.Color(num), fullScore); err != nil {
 			return err
 		}
 	}
 	return drw.Save(6*vg.Inch, 3.5*vg.Inch, path)
 }
 
-// leastLatency and mostLatency are the ends of the latency axis in ms: deadlines are 2,500 to 6,000, and the legend needs room above them.
+// minLatency and maxLatency are the limits of the latency axis in ms. Deadlines are 2,500 to 6,000 ms; the legend needs space above them.
 const (
-	leastLatency = 100
-	mostLatency  = 30_000
+	minLatency = 100
+	maxLatency = 30_000
 )
 
-// WriteLatency writes the median and the 99th percentile of each kind of request by day, and the aim of a kind as a thin line, as a PNG
-// file. The scale of the latency is logarithmic.
+// WriteLatency writes a PNG file with the median and the 99th percentile of each kind of request by day, and a thin line for the latency
+// aim of a kind. The latency axis is logarithmic.
 func WriteLatency(days []Day, aims map[string]time.Duration, path string) (err error) {
 	defer func() { err = errors.Wrap(err, "plot") }()
 	if len(days) == 0 {
@@ -56,7 +57,7 @@
 	drw.Title.Text = "latency by kind and day: median, p99; thin: aim"
 	drw.Y.Label.Text = "ms"
 	drw.Y.Scale, drw.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	drw.Y.Min, drw.Y.Max = leastLatency, mostLatency
+	drw.Y.Min, drw.Y.Max = minLatency, maxLatency
 	var names []string
 	for _, day := range days {
 		names = append(names, day.Name)
@@ -77,30 +78,30 @@
 		if !ok {
 			continue
 		}
-		line := plotter.XYs{{X: 0, Y: inMilliseconds(aim)}, {X: float64(len(days) - 1), Y: inMilliseconds(aim)}}
-		if err = addThin(drw, plotutil.Color(num), line); err != nil {
+		line := plotter.XYs{{X: 0, Y: toMilliseconds(aim)}, {X: float64(len(days) - 1), Y: toMilliseconds(aim)}}
+		if err = addDashed(drw, plotutil.Color(num), line); err != nil {
 			return err
 		}
 	}
 	return drw.Save(7*vg.Inch, 4*vg.Inch, path)
 }
 
-// latencies returns the points of a kind. Days without a latency are left out, since a logarithmic scale has no zero.
+// latencies returns the points of a kind. Days without a latency are omitted, since a logarithmic axis has no zero.
 func latencies(days []Day, name string) (median, p99 plotter.XYs) {
 	for num, day := range days {
 		for _, knd := range day.Kinds {
 			if knd.Name == name && knd.Median > 0 {
-				median = append(median, plotter.XY{X: float64(num), Y: inMilliseconds(knd.Median)})
-				p99 = append(p99, plotter.XY{X: float64(num), Y: inMilliseconds(knd.P99)})
+				median = append(median, plotter.XY{X: float64(num), Y: toMilliseconds(knd.Median)})
+				p99 = append(p99, plotter.XY{X: float64(num), Y: toMilliseconds(knd.P99)})
 			}
 		}
 	}
 	return median, p99
 }
 
-func inMilliseconds(dur time.Duration) (num float64) { return float64(dur) / float64(time.Millisecond) }
+func toMilliseconds(dur time.Duration) (num float64) { return float64(dur) / float64(time.Millisecond) }
 
-// addPoints adds a line with points in the color of the number. An empty name gets no legend.
+// addPoints adds a line with points in the palette color num. A line with an empty name gets no legend entry.
 func addPoints(drw *plot.Plot, name string, num int, points plotter.XYs) (err error) {
 	if len(points) == 0 {
 		return nil
@@ -118,14 +119,14 @@
 	return nil
 }
 
-// addThin adds a thin dashed line.
-func addThin(drw *plot.Plot, col color.Color, points plotter.XYs) (err error) {
-	thin, err := plotter.NewLine(points)
+// addDashed adds a thin dashed line.
+func addDashed(drw *plot.Plot, col color.Color, points plotter.XYs) (err error) {
+	lin, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
-	thin.Color, thin.Dashes = col, plotutil.Dashes(1)
-	thin.Width = vg.Points(0.5)
-	drw.Add(thin)
+	lin.Color, lin.Dashes = col, plotutil.Dashes(1)
+	lin.Width = vg.Points(0.5)
+	drw.Add(lin)
 	return nil
 }
--- a/internal/load/rounds/rounds.go
+++ b/internal/load/rounds/rounds.go
@@ -1,8 +1,8 @@
-// Package rounds reads what the users' bench has written: its journal, to show how the worth of the standard days changed from score to
-// score, and its reports of single days, to show the latency by kind of request.
+// Package rounds reads and plots the output of the users' bench: its journal, for the worth of the standard days from score to score,
+// and its reports of single days, for the latency by kind of request.
 //
-// The journal holds one JSON file for each run. Only whole scores count: runs of other kinds, and days that a score draws anew, are left out,
-// since their figures don't compare.
+// The journal holds one JSON file per run. Only runs of the score command are read, and of these only the standard days: days that are
+// generated anew for each score are excluded, since their figures are not comparable.
 package rounds
 
 import (
@@ -16,97 +16,98 @@
 	"github.com/pkg/errors"
 )
 
-// drawnDay begins the names of days that a score draws anew.
-const drawnDay = "fresh-"
+// generatedDayPrefix starts the names of days that are generated anew for each score.
+const generatedDayPrefix = "fresh-"
 
-// Round is one score of the standard days of a site.
-type Round struct {
+// Score is the result of one score run over the standard days of a site.
+type Score struct {
 	At   time.Time
 	Site string
-	// Why is the reason that was given for the run.
-	Why string
-	// Worth is the mean over the standard days of the credit earned less prices, Mark the mean of what the site asks for a full score.
-	Worth, Mark float64
+	// Reason is the reason that was given for the run.
+	Reason string
+	// Worth is the mean over the standard days of the credit earned minus the prices paid, FullScore the mean of the worth that the
+	// site requires for a full score.
+	Worth, FullScore float64
 	// Days is the number of standard days.
 	Days int
 }
 
-// entry is a file of the journal; fields that are not used are left out.
+// entry is a journal file, reduced to the fields that are used.
 type entry struct {
-	At   []string `json:"at"` // begin and end; the end is empty for a run that did not finish
+	At   []string `json:"at"` // start and end; the end is empty or missing for a run that did not finish
 	Cmd  string   `json:"cmd"`
 	Why  string   `json:"why"`
 	Site string   `json:"site"`
 	Days []struct {
 		Name string  `json:"name"`
 		G    float64 `json:"G"`   // worth
-		Top  float64 `json:"top"` // worth of a full score
+		Top  float64 `json:"top"` // worth required for a full score
 	} `json:"days"`
 }
 
-// Read returns the scores in the journal at dir, the oldest first. A file that can't be read is an error that names it.
-func Read(dir string) (rds []Round, err error) {
+// Read returns the scores in the journal at dir, oldest first. If a file can't be read, the error names it.
+func Read(dir string) (scores []Score, err error) {
 	defer func() { err = errors.Wrap(err, "journal") }()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
 	}
 	for _, path := range paths {
-		rnd, ok, err := readEntry(path)
+		scr, ok, err := readEntry(path)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			rds = append(rds, rnd)
+			scores = append(scores, scr)
 		}
 	}
-	slices.SortStableFunc(rds, func(one, two Round) int { return one.At.Compare(two.At) })
-	return rds, nil
+	slices.SortStableFunc(scores, func(lhs, rhs Score) int { return lhs.At.Compare(rhs.At) })
+	return scores, nil
 }
 
-// readEntry returns the round of a file; ok is false for a file that holds no score. Its errors name the file.
-func readEntry(path string) (rnd Round, ok bool, err error) {
+// readEntry returns the score in a journal file; ok is false if the file holds none. Errors name the file.
+func readEntry(path string) (scr Score, ok bool, err error) {
 	defer func() { err = errors.Wrap(err, filepath.Base(path)) }()
 	var ent entry
-	if err = readFile(path, &ent); err != nil {
-		return rnd, false, err
+	if err = readJSON(path, &ent); err != nil {
+		return scr, false, err
 	}
 	if ent.Cmd != "score" || len(ent.Days) == 0 {
-		return rnd, false, nil
+		return scr, false, nil
 	}
-	rnd = Round{
-		Site: ent.Site,
-		Why:  ent.Why,
+	scr = Score{
+		Site:   ent.Site,
+		Reason: ent.Why,
 	}
-	if rnd.At, err = ent.begin(); err != nil {
-		return rnd, false, err
+	if scr.At, err = ent.startTime(); err != nil {
+		return scr, false, err
 	}
 	for _, day := range ent.Days {
-		if strings.HasPrefix(day.Name, drawnDay) {
+		if strings.HasPrefix(day.Name, generatedDayPrefix) {
 			continue
 		}
-		rnd.Days++
-		rnd.Worth += day.G
-		rnd.Mark += day.Top
+		scr.Days++
+		scr.Worth += day.G
+		scr.FullScore += day.Top
 	}
-	if rnd.Days == 0 {
-		return rnd, false, nil
+	if scr.Days == 0 {
+		return scr, false, nil
 	}
-	rnd.Worth /= float64(rnd.Days)
-	rnd.Mark /= float64(rnd.Days)
-	return rnd, true, nil
+	scr.Worth /= float64(scr.Days)
+	scr.FullScore /= float64(scr.Days)
+	return scr, true, nil
 }
 
-// begin returns the time at which the run began.
-func (ent *entry) begin() (at time.Time, err error) {
+// startTime returns the time at which the run started.
+func (ent *entry) startTime() (at time.Time, err error) {
 	if len(ent.At) == 0 {
-		return at, errors.New("the entry has no time")
+		return at, errors.New("the entry has no start time")
 	}
 	return time.Parse(time.RFC3339, ent.At[0])
 }
 
-// readFile decodes a JSON file.
-func readFile(path string, value any) (err error) {
+// readJSON decodes a JSON file into value.
+func readJSON(path string, value any) (err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -114,26 +115,26 @@
 	return json.Unmarshal(data, value)
 }
 
-// whole returns the rounds of a site with the most days, since a score may be of a few days only.
-func whole(rds []Round, site string) (out []Round) {
+// completeScores returns the scores of a site that have the most days, since a score can cover only some of the standard days.
+func completeScores(scores []Score, site string) (out []Score) {
 	most := 0
-	for _, rnd := range rds {
-		if rnd.Site == site {
-			most = max(most, rnd.Days)
+	for _, scr := range scores {
+		if scr.Site == site {
+			most = max(most, scr.Days)
 		}
 	}
-	for _, rnd := range rds {
-		if rnd.Site == site && rnd.Days == most {
-			out = append(out, rnd)
+	for _, scr := range scores {
+		if scr.Site == site && scr.Days == most {
+			out = append(out, scr)
 		}
 	}
 	return out
 }
 
-// Sites returns the names of the sites in alphabetical order.
-func Sites(rds []Round) (sites []string) {
-	for _, rnd := range rds {
-		sites = append(sites, rnd.Site)
+// Sites returns the distinct names of the sites in alphabetical order.
+func Sites(scores []Score) (sites []string) {
+	for _, scr := range scores {
+		sites = append(sites, scr.Site)
 	}
 	slices.Sort(sites)
 	return slices.Compact(sites)
